--- a/src/app/main/main.cpp
+++ b/apps/controller_main.cpp
@@ -49,7 +49,7 @@
     try {
         settings = config::load_settings(path);
         if (!operator_path.empty()) tunables = config::load_tunables(operator_path);
-    } catch (const config::BadSetting& e) {
+    } catch (const config::ConfigError& e) {
         std::cerr << "flintdale: " << e.what() << '\n';
         return bad_settings;
     }
--- a/lab/scale_main.cpp
+++ b/apps/load_test_main.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <iostream>
 
-#include "scale/fit.hpp"
-#include "scale/hollow.hpp"
-#include "scale/run.hpp"
+#include "load_test/fit.hpp"
+#include "load_test/hollow_workers.hpp"
+#include "load_test/load_test.hpp"
 
 namespace {
 
@@ -20,13 +20,13 @@
 
 struct Arguments {
     std::string scenario, daemon, output;
-    scale::Overrides overrides;
+    load_test::Overrides overrides;
     std::size_t process = 0;
     bool keep_logs = false;
 };
 
 void add_size_options(CLI::App& app, Arguments& a) {
-    app.add_option("scenario", a.scenario, "a TOML file, as lab/scale.toml")->required();
+    app.add_option("scenario", a.scenario, "a TOML file, as scenarios/load-test.toml")->required();
     app.add_option("--workers", a.overrides.workers);
     app.add_option("--controllers", a.overrides.controllers);
     app.add_option("--zones", a.overrides.zones);
@@ -51,7 +51,8 @@
 class RunDirectory {
   public:
     explicit RunDirectory(bool keep)
-        : path_(std::filesystem::temp_directory_path() / ("flintdale_scale." + std::to_string(getpid()))), keep_(keep) {
+        : path_(std::filesystem::temp_directory_path() / ("flintdale_load_test." + std::to_string(getpid()))),
+          keep_(keep) {
         std::filesystem::create_directories(path_);
     }
     ~RunDirectory() {
@@ -68,12 +69,12 @@
 int play(Arguments a, const std::vector<std::string>& arguments) {
     const bool chosen = a.overrides.network != 0;
     if (!chosen) a.overrides.network = 2 + static_cast<unsigned>(getpid()) % 250;
-    const auto plan = scale::make_plan(a.scenario, a.overrides);
+    const auto plan = load_test::make_plan(a.scenario, a.overrides);
     const RunDirectory directory(a.keep_logs);
-    scale::Programs programs;
+    load_test::Programs programs;
     programs.daemon = a.daemon.empty() ? (own_program().parent_path() / "flintdale").string() : a.daemon;
     if (!std::filesystem::exists(programs.daemon))
-        throw config::BadSetting(programs.daemon + ": there is no such program");
+        throw config::ConfigError(programs.daemon + ": there is no such program");
     programs.directory = directory.path();
     programs.hollow = {own_program().string(), "hollow"};
     programs.hollow.insert(programs.hollow.end(), arguments.begin(), arguments.end());
@@ -89,7 +90,7 @@
         interrupted = !ec;
         io.stop();
     });
-    scale::ScaleRun run(io.get_executor(), plan, programs);
+    load_test::LoadTest run(io.get_executor(), plan, programs);
     std::exception_ptr error;
     asio::co_spawn(io, run.play(), [&](std::exception_ptr e) {
         error = e;
@@ -102,14 +103,14 @@
         std::cout << line << '\n';
     else
         std::ofstream(a.output, std::ios::app) << line << '\n';
-    if (interrupted) std::cerr << "flintdale_scale: interrupted\n";
+    if (interrupted) std::cerr << "flintdale_load_test: interrupted\n";
     return run.passed() && !interrupted ? 0 : failed;
 }
 
 int be_hollow(const Arguments& a) {
-    const auto plan = scale::make_plan(a.scenario, a.overrides);
+    const auto plan = load_test::make_plan(a.scenario, a.overrides);
     asio::io_context io(1);
-    scale::HollowWorkers workers(io, plan, a.process, STDIN_FILENO, STDOUT_FILENO);
+    load_test::HollowWorkers workers(io, plan, a.process, STDIN_FILENO, STDOUT_FILENO);
     workers.start();
     io.run();
     return 0;
@@ -119,16 +120,16 @@
     std::vector<boost::json::object> results;
     for (const auto& file : files) {
         std::ifstream in(file);
-        if (!in) throw config::BadSetting(file + ": cannot be read");
+        if (!in) throw config::ConfigError(file + ": cannot be read");
         for (std::string line; std::getline(in, line);) {
             if (line.empty()) continue;
             boost::system::error_code ec;
             const auto value = boost::json::parse(line, ec);
-            if (ec || !value.is_object()) throw config::BadSetting(file + ": a line is no JSON object");
+            if (ec || !value.is_object()) throw config::ConfigError(file + ": a line is no JSON object");
             results.push_back(value.as_object());
         }
     }
-    std::cout << scale::fit_table(results);
+    std::cout << load_test::fit_table(results);
     return 0;
 }
 
@@ -136,7 +137,8 @@
 
 int main(int argc, char** argv) {
     CLI::App cli{
-        "flintdale_scale: real controllers with hollow workers, users, a state service and a cloud on one machine.\n"
+        "flintdale_load_test: real controllers with hollow workers, users, a state service and a cloud on one "
+        "machine.\n"
         "Exits with 1 if a rule was broken or the run failed, with 2 if the arguments are unsound or do not fit."};
     cli.require_subcommand(1);
     Arguments a;
@@ -164,11 +166,11 @@
         if (table->parsed()) return fit(files);
         if (hollow->parsed()) return be_hollow(a);
         return play(a, std::vector<std::string>(argv + 2, argv + argc));
-    } catch (const config::BadSetting& e) {
-        std::cerr << "flintdale_scale: " << e.what() << '\n';
+    } catch (const config::ConfigError& e) {
+        std::cerr << "flintdale_load_test: " << e.what() << '\n';
         return bad_arguments;
     } catch (const std::exception& e) {
-        std::cerr << "flintdale_scale: " << e.what() << '\n';
+        std::cerr << "flintdale_load_test: " << e.what() << '\n';
         return failed;
     }
 }
--- a/lab/main.cpp
+++ b/apps/simulator_main.cpp
@@ -1,4 +1,4 @@
-// Plays scenarios in an emulated world, one line of JSON a seed.
+// Plays scenarios in a simulation, one line of JSON a seed.
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -9,24 +9,24 @@
 #include <mutex>
 #include <thread>
 
-#include "emulator/world.hpp"
+#include "simulator/simulation.hpp"
 
 namespace {
 // Seconds of the emulated time, for the log.
-class EmulatedTime : public spdlog::custom_flag_formatter {
+class SimulatedTime : public spdlog::custom_flag_formatter {
   public:
     void format(const spdlog::details::log_msg&, const std::tm&, spdlog::memory_buf_t& out) override {
-        const std::chrono::duration<double> t = flintdale::wire::Clock::now().time_since_epoch();
+        const std::chrono::duration<double> t = flintdale::model::Clock::now().time_since_epoch();
         fmt::format_to(std::back_inserter(out), "{:9.3f}", t.count() - 1000);
     }
-    std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<EmulatedTime>(); }
+    std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<SimulatedTime>(); }
 };
 }  // namespace
 
 int main(int argc, char** argv) {
     using namespace flintdale;
     CLI::App cli{
-        "flintdale_lab: plays a scenario with three whole controllers in an emulated world.\n"
+        "flintdale_simulator: plays a scenario with three whole controllers in a simulation.\n"
         "Prints a line of JSON a seed; exits with 1 if a rule was broken or a class or team left behind, with 2 if "
         "the\n"
         "scenario is unsound."};
@@ -53,16 +53,16 @@
     spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
     spdlog::set_level(spdlog::level::from_str(log));
     auto pattern = std::make_unique<spdlog::pattern_formatter>();
-    pattern->add_flag<EmulatedTime>('*').set_pattern("%* %l %v");
+    pattern->add_flag<SimulatedTime>('*').set_pattern("%* %l %v");
     spdlog::set_formatter(std::move(pattern));
     if (log != "off") jobs = 1;
-    emulator::Scenario scenario;
+    simulator::Scenario scenario;
     try {
-        scenario = emulator::load_scenario(path);
+        scenario = simulator::load_scenario(path);
         if (relays) scenario.direct_share = 0;
-        emulator::World probe(scenario, seed);  // finds what is wrong with the cluster's settings
-    } catch (const config::BadSetting& e) {
-        std::cerr << "flintdale_lab: " << e.what() << '\n';
+        simulator::Simulation probe(scenario, seed);  // finds what is wrong with the cluster's settings
+    } catch (const config::ConfigError& e) {
+        std::cerr << "flintdale_simulator: " << e.what() << '\n';
         return 2;
     }
     std::atomic<std::uint64_t> next{0};
@@ -71,15 +71,15 @@
     std::mutex mutex;
     const auto work = [&] {
         for (auto n = next++; n < seeds; n = next++) {
-            emulator::World world(scenario, seed + n);
+            simulator::Simulation world(scenario, seed + n);
             const auto outcome = world.play();
-            const auto line = emulator::to_line(outcome);
+            const auto line = simulator::to_line(outcome);
             const std::lock_guard lock(mutex);
             broken += !outcome.broken.empty();
             behind += !outcome.left_behind.empty();
             const bool failed = !outcome.broken.empty() || !outcome.left_behind.empty();
             lines[n] = only_broken && !failed ? std::string() : line + "\n";
-            if (summary) std::cerr << emulator::to_text(outcome);
+            if (summary) std::cerr << simulator::to_text(outcome);
             for (; !lines.empty() && lines.begin()->first == printed; ++printed) {
                 std::cout << lines.begin()->second << std::flush;
                 lines.erase(lines.begin());
--- a/bench/leader_bench.cpp
+++ b/bench/leader_bench.cpp
@@ -3,13 +3,17 @@
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace {
 
 using namespace flintdale;
 using namespace std::chrono_literals;
-using wire::Shape;
+using model::JobKind;
 
 config::Settings settings() {
     return config::parse_settings(R"(
@@ -49,11 +53,11 @@
     static constexpr std::uint32_t per_machine = 4, per_job = 40;
     config::Settings settings = ::settings();
     config::Tunables tunables;
-    state::Form form{settings};
-    wire::TimePoint now{1000s};
+    state::RecordFormat record_format{settings};
+    model::TimePoint now{1000s};
     std::unique_ptr<scheduler::Scheduler> leader;
-    std::vector<state::Item> records;
-    std::vector<wire::WorkerReport> reports;
+    std::vector<state::KeyValue> records;
+    std::vector<model::Heartbeat> reports;
     std::vector<std::string> names;
 
     Fleet(std::size_t machines, std::size_t waiting) {
@@ -67,22 +71,22 @@
         for (int i = 0; i < 3; ++i) leader->place(now += 500ms);  // what found no room merges into one queue
     }
 
-    wire::JobSpec job(std::string uid, Shape shape) const {
-        wire::JobSpec s;
+    model::JobSpec job(std::string uid, JobKind kind) const {
+        model::JobSpec s;
         s.uid = std::move(uid);
         s.job_class = "class";
         s.team = "team";
-        s.shape = shape;
+        s.kind = kind;
         s.tasks = per_job;
         s.need = {4, 1, 12};
-        s.estimate = wire::Seconds(60);
+        s.estimated_runtime = model::Seconds(60);
         s.image = "image-" + std::to_string(std::hash<std::string>{}(s.uid) % 40);
         s.image_gb = 6;
         return s;
     }
     void add_placed(std::size_t j, std::size_t& at) {
-        const auto spec = job("run-" + std::to_string(1'000'000 + j), Shape::array);
-        std::vector<wire::TaskRange> ranges;
+        const auto spec = job("run-" + std::to_string(1'000'000 + j), JobKind::array);
+        std::vector<model::TaskRange> ranges;
         for (std::uint32_t i = 0; i < per_job && at < names.size() * per_machine; ++i, ++at)
             ranges.push_back({i, i, 1, names[at / per_machine], false});
         records.push_back(
@@ -90,42 +94,42 @@
              boost::json::object{{"spec", wire::spec_to_record(spec)}, {"tasks", wire::ranges_to_record(ranges)}}, 1});
     }
     void add_waiting(std::size_t j) {
-        auto spec = job("run-" + std::to_string(5'000'000 + j), j % 4 ? Shape::array : Shape::gang);
-        if (spec.shape == Shape::gang) {
+        auto spec = job("run-" + std::to_string(5'000'000 + j), j % 4 ? JobKind::array : JobKind::gang);
+        if (spec.kind == JobKind::gang) {
             spec.need = {16, 4, 48};
             spec.tasks = 8;
         }
         records.push_back({scheduler::work_key(spec.uid, 0), scheduler::first_work_record(spec), 1});
     }
     void elect() {
-        leader = std::make_unique<scheduler::Scheduler>(settings, tunables, form, 1, 1, now);
-        wire::MachineType type;
+        leader = std::make_unique<scheduler::Scheduler>(settings, tunables, record_format, 1, 1, now);
+        model::MachineType type;
         type.name = "type";
         type.capacity = {16, 4, 64};
         type.cache_gb = 60;
         type.fetch_gb_per_s = 0.4;
         type.price = 5;
         type.spot_price = 2;
-        type.boot = wire::Seconds(40);
+        type.boot = model::Seconds(40);
         type.zones = {"a", "b", "c"};
         leader->catalog({type});
         leader->load(records, now);
     }
-    wire::WorkerReport report(std::size_t i, std::uint64_t tick) const {
+    model::Heartbeat report(std::size_t i, std::uint64_t sequence) const {
         static const char* zones[] = {"a", "b", "c"};
-        wire::WorkerReport r;
+        model::Heartbeat r;
         r.machine = names[i];
         r.addr = "10.0.0.1:9000";
         r.type = "type";
         r.zone = zones[i % 3];
-        r.tenure = 1;
-        r.tick = tick;
-        r.token = 1;
+        r.incarnation = 1;
+        r.sequence = sequence;
+        r.fencing_token = 1;
         for (std::size_t k = i * per_machine; k < (i + 1) * per_machine; ++k) {
-            wire::TaskReport t;
+            model::TaskReport t;
             t.id = {"run-" + std::to_string(1'000'000 + k / per_job), static_cast<std::uint32_t>(k % per_job)};
             t.attempt = 1;
-            t.status = wire::TaskStatus::running;
+            t.status = model::TaskStatus::running;
             r.tasks.push_back(std::move(t));
         }
         return r;
--- a/src/api/known_jobs.cpp
+++ b/src/api/known_jobs.cpp
@@ -6,9 +6,9 @@
 
 namespace flintdale::api {
 
-using wire::JobState;
+using model::JobState;
 
-std::optional<KnownJob> known_from(const state::Item& record) {
+std::optional<KnownJob> known_from(const state::KeyValue& record) {
     try {
         const auto& o = record.value.as_object();
         KnownJob out;
@@ -16,7 +16,7 @@
             out.state = wire::job_state_from(std::string_view(state->as_string()));
         out.size = wire::size_from_record(o);
         if (const auto* spec = o.if_contains("spec"); spec && !out.over())
-            out.prerequisites = wire::spec_from_record(spec->as_object()).prerequisites;
+            out.dependencies = wire::spec_from_record(spec->as_object()).dependencies;
         return out;
     } catch (const std::exception& e) {
         spdlog::error("event=record_unreadable key={} why=\"{}\"", record.key, e.what());
--- a/src/api/known_jobs.hpp
+++ b/src/api/known_jobs.hpp
@@ -10,22 +10,22 @@
 #include <string>
 #include <vector>
 
+#include "model/job.hpp"
 #include "state/store.hpp"
-#include "wire/types.hpp"
 
 namespace flintdale::api {
 
 struct KnownJob {
-    wire::JobState state = wire::JobState::open;
-    wire::JobSize size;
-    std::vector<std::string> prerequisites;  // of an open job
-    bool over() const { return state != wire::JobState::open; }
+    model::JobState state = model::JobState::open;
+    model::JobSize size;
+    std::vector<std::string> dependencies;  // of an open job
+    bool over() const { return state != model::JobState::open; }
 };
 // Of a job that was accepted. It stays as it is for as long as somebody holds it.
 using JobEvidence = std::shared_ptr<const KnownJob>;
 
 // What a record says of its job; nothing, with a line in the log, if it cannot be read.
-std::optional<KnownJob> known_from(const state::Item& record);
+std::optional<KnownJob> known_from(const state::KeyValue& record);
 
 class KnownJobs {
   public:
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -4,13 +4,14 @@
 
 #include <cmath>
 
+#include "model/job.hpp"
 #include "placement/planner.hpp"
 
 namespace flintdale::api {
 
+using model::JobState;
 using state::Outcome;
-using state::Urgency;
-using wire::JobState;
+using state::RequestPriority;
 
 namespace {
 
@@ -38,22 +39,28 @@
 }  // namespace
 
 SubmissionService::SubmissionService(net::Executor ex, state::Store& store, const config::Settings& settings,
-                                     const state::Form& form, Links links, std::size_t known)
-    : ex_(ex), store_(store), settings_(settings), form_(form), links_(std::move(links)), known_(known), asked_(ex) {}
+                                     const state::RecordFormat& record_format, Callbacks callbacks, std::size_t known)
+    : ex_(ex),
+      store_(store),
+      settings_(settings),
+      record_format_(record_format),
+      callbacks_(std::move(callbacks)),
+      known_(known),
+      asked_(ex) {}
 
 // Why the job can never run, if it cannot.
-std::optional<std::string> SubmissionService::never_runs(const wire::JobSpec& spec) const {
+std::optional<std::string> SubmissionService::never_runs(const model::JobSpec& spec) const {
     const auto* team = settings_.team(spec.team);
     if (!team) return "owner: unknown team";
-    const double tasks = spec.shape == wire::Shape::array ? 1.0 : static_cast<double>(spec.tasks);
+    const double tasks = spec.kind == model::JobKind::array ? 1.0 : static_cast<double>(spec.tasks);
     const auto over = [&](double limit, double need) { return limit > 0 && need * tasks > limit + 1e-9; };
     if (over(team->cpus_limit, spec.need.cpus)) return "cores: more than the team's limit";
     if (over(team->gpus_limit, spec.need.gpus)) return "accelerators: more than the team's limit";
     // Tasks that are in one zone together are never at most half of them there.
-    if (spec.spread && (spec.one_zone || spec.zone) && spec.shape != wire::Shape::array && spec.tasks > 1)
+    if (spec.spread && (spec.one_zone || spec.zone) && spec.kind != model::JobKind::array && spec.tasks > 1)
         return "scatter: all tasks would have to be in one zone";
     const placement::Rules anything;
-    for (const auto& type : *links_.types()) {
+    for (const auto& type : *callbacks_.types()) {
         if (!placement::fits(spec.need, type.capacity)) continue;
         for (const auto& zone : type.zones)
             if (placement::allowed(spec, anything, type.name, zone, false)) return std::nullopt;
@@ -62,15 +69,15 @@
 }
 
 // What a key of the job says of it; null if the key is absent, or cannot be read.
-JobEvidence SubmissionService::learn(const std::string& uid, const state::Item& item) {
-    if (!item.stamp) return nullptr;
+JobEvidence SubmissionService::learn(const std::string& uid, const state::KeyValue& item) {
+    if (!item.mod_revision) return nullptr;
     auto job = known_from(item);
     return job ? known_.learn(uid, std::move(*job)) : nullptr;
 }
 
 // What was over once stays over, whatever has become of its record.
 JobEvidence SubmissionService::over_by_memory(const std::string& uid) {
-    const auto remembered = links_.remembered(uid);
+    const auto remembered = callbacks_.remembered(uid);
     if (!remembered || remembered->state == JobState::open) return nullptr;
     return known_.learn(uid, {remembered->state, remembered->size, {}});
 }
@@ -80,8 +87,8 @@
     auto known = known_.find(uid);
     if (known && known->over()) return known;
     if (auto over = over_by_memory(uid)) return over;
-    if (known || !links_.open_record) return known;
-    const auto record = links_.open_record(uid);
+    if (known || !callbacks_.open_record) return known;
+    const auto record = callbacks_.open_record(uid);
     return record ? learn(uid, *record) : nullptr;
 }
 
@@ -99,7 +106,7 @@
 // asks comes again.
 SubmissionService::Look SubmissionService::absent_now(const std::string& uid) {
     if (auto over = over_by_memory(uid)) return {true, std::move(over)};
-    return {!links_.remembered(uid) && links_.certain(), nullptr};
+    return {!callbacks_.remembered(uid) && callbacks_.certain(), nullptr};
 }
 
 awaitable<std::optional<bool>> SubmissionService::look_up(std::string uid) {
@@ -114,21 +121,21 @@
     for (int round = 0; round < max_tries; ++round) {
         for (const bool over : {true, false}) {
             auto key = over ? scheduler::outcome_key(uid) : scheduler::work_key(uid, 0);
-            auto got = co_await store_.get(std::move(key), Urgency::user);
+            auto got = co_await store_.get(std::move(key), RequestPriority::user);
             out.outcome = got.outcome;
             if (got.outcome != Outcome::ok) co_return out;
-            if (!got.item.stamp) continue;
+            if (!got.item.mod_revision) continue;
             out.job = learn(uid, got.item);
             if (!out.job) out.outcome = Outcome::unknown;
             if (!out.job) co_return out;
-            links_.job_changed(got.item);
+            callbacks_.job_changed(got.item);
             out.item = std::move(got.item);
             co_return out;
         }
         // It may have ended between the two looks, and its work been removed: only both at once tell.
-        const bool certain = links_.certain();
+        const bool certain = callbacks_.certain();
         auto txn = absent(uid);
-        const auto neither = co_await store_.commit(std::move(txn), Urgency::user);
+        const auto neither = co_await store_.commit(std::move(txn), RequestPriority::user);
         out.outcome = neither.outcome;
         if (neither.outcome == Outcome::conflict) continue;
         if (neither.outcome != Outcome::ok) co_return out;
@@ -152,21 +159,21 @@
 // By the evidence of whoever asked, or what is known beyond it by now.
 Reply SubmissionService::status_of(const std::string& uid, JobEvidence job, bool as_submission) {
     job = newest(uid, std::move(job));
-    const auto count = job->over() ? DisplayCount{} : links_.count(uid);
+    const auto count = job->over() ? DisplayCount{} : callbacks_.count(uid);
     std::string_view status = count.running > 0 ? "running" : "pending";
     if (job->state == JobState::done) status = "done";
     if (job->state == JobState::cancelled) {
         status = "aborted";
-        links_.tells_cancelled(uid);
+        callbacks_.tells_cancelled(uid);
     }
-    if (as_submission) return reply(200, wire::submission_answer(uid, status));
+    if (as_submission) return reply(200, wire::submission_response(uid, status));
     const auto done = job->state == JobState::done ? job->size.tasks : count.done;
-    return reply(200, wire::poll_answer(uid, status, done, count.running));
+    return reply(200, wire::poll_response(uid, status, done, count.running));
 }
 
 awaitable<Reply> SubmissionService::current(std::string uid, bool as_submission) {
     const std::chrono::seconds patience = as_submission ? submission_patience : poll_patience;
-    const auto look = co_await look_through(uid, wire::Clock::now() + patience);
+    const auto look = co_await look_through(uid, model::Clock::now() + patience);
     // That an accepted job never was is not what a repeated submission is told.
     if (!look.sure || (!look.job && as_submission)) co_return come_back("the state service cannot be reached");
     if (!look.job) co_return reply(404, wire::error_body("no such job"));
@@ -174,7 +181,7 @@
 }
 
 awaitable<Reply> SubmissionService::submit(std::string body) {
-    wire::JobSpec spec;
+    model::JobSpec spec;
     std::string uid, complaint;
     try {
         const auto o = wire::parse_object(body);
@@ -182,20 +189,20 @@
             id && id->is_string() && wire::valid_uid(std::string_view(id->get_string())))
             uid = std::string(id->get_string());
         spec = wire::parse_submission(o);
-    } catch (const wire::BadBody& e) {
+    } catch (const wire::DecodeError& e) {
         complaint = e.what();
     }
     unsigned status = 400;
-    spec.accepted_ms = links_.time_of_day_ms();
-    if (complaint.empty() && links_.types())
+    spec.accepted_ms = callbacks_.time_of_day_ms();
+    if (complaint.empty() && callbacks_.types())
         if (auto why = never_runs(spec)) {
             complaint = *why;
             status = 422;
         }
     if (!complaint.empty()) co_return co_await refuse(std::move(uid), status, std::move(complaint));
     if (at_hand(uid)) co_return co_await current(uid, true);
-    const bool early = !form_.newest() && !scheduler::readable_by_all(spec, form_);
-    if (early || !links_.types()) {
+    const bool early = !record_format_.newest() && !scheduler::readable_by_all(spec, record_format_);
+    if (early || !callbacks_.types()) {
         const auto exists = co_await look_up(uid);
         if (exists && *exists) co_return co_await current(uid, true);
         // A controller of an older version could not read it, or would start it too early.
@@ -205,32 +212,32 @@
     // What would wait too long is refused at once, with the time when it may be taken.
     if (const auto wait = store_.write_wait(); wait > most_wait)
         co_return come_back("too many submissions at once", wait);
-    if (!spec.prerequisites.empty()) {
-        auto needs = co_await check_prerequisites(spec);
+    if (!spec.dependencies.empty()) {
+        auto needs = co_await check_dependencies(spec);
         if (needs.unknown) co_return come_back("the state service cannot be reached");
         if (needs.complaint) co_return co_await refuse(std::move(uid), 422, std::move(*needs.complaint));
     }
-    const auto records = scheduler::accepted_records(spec, form_);
+    const auto records = scheduler::accepted_records(spec, record_format_);
     if (records.empty()) {
-        const bool types = spec.types && spec.types->size() > spec.prerequisites.size();
-        std::string too_long = types ? "hosttypes" : spec.prerequisites.size() > 1 ? "prereqs" : "body";
+        const bool types = spec.types && spec.types->size() > spec.dependencies.size();
+        std::string too_long = types ? "hosttypes" : spec.dependencies.size() > 1 ? "prereqs" : "body";
         too_long += ": too long to be kept";
         co_return co_await refuse(std::move(uid), 400, std::move(too_long));
     }
     auto txn = absent(uid);
     txn.changes = records;
-    const auto result = co_await store_.commit(std::move(txn), Urgency::user);
+    const auto result = co_await store_.commit(std::move(txn), RequestPriority::user);
     if (result.outcome == Outcome::ok) {
         for (const auto& record : records) {
-            state::Item item;
+            state::KeyValue item;
             item.key = record.key;
             item.value = *record.value;
-            item.stamp = result.revision;
+            item.mod_revision = result.revision;
             if (&record == &records.front()) learn(uid, item);
-            links_.job_changed(item);
+            callbacks_.job_changed(item);
         }
         spdlog::info("event=job_accepted job={} class={} tasks={}", uid, spec.job_class, spec.tasks);
-        co_return reply(201, wire::submission_answer(uid, "pending"));
+        co_return reply(201, wire::submission_response(uid, "pending"));
     }
     if (result.outcome == Outcome::refused) co_return come_back("the state service refuses");
     // Either it exists, or the answer was lost and it may exist.
@@ -250,12 +257,12 @@
 
 // A job that is known here was accepted, for good. Of any other the state service is asked now: jobs of a pipeline come
 // one right after the other, to different controllers.
-awaitable<SubmissionService::Needs> SubmissionService::check_prerequisites(wire::JobSpec spec) {
+awaitable<SubmissionService::Needs> SubmissionService::check_dependencies(model::JobSpec spec) {
     Needs out;
     std::map<std::string, JobEvidence> known;
     Questions asked;
-    const auto until = wire::Clock::now() + submission_patience;
-    for (const auto& uid : spec.prerequisites) {
+    const auto until = model::Clock::now() + submission_patience;
+    for (const auto& uid : spec.dependencies) {
         known[uid] = at_hand(uid);
         if (!known[uid]) asked.push_back(put(uid, until));
     }
@@ -267,7 +274,7 @@
     if (out.unknown) co_return out;
     for (const auto& [uid, job] : known) {
         if (!job) out.complaint = "prereqs: " + uid + " was never accepted";
-        if (job && job->size.shape == wire::Shape::service)
+        if (job && job->size.kind == model::JobKind::service)
             out.complaint = "prereqs: " + uid + " is a service, which is never done";
         if (out.complaint) co_return out;
     }
@@ -310,16 +317,16 @@
         out.job = question->held;
         if (said == Answer::over || said == Answer::work) {
             auto key = said == Answer::over ? scheduler::outcome_key(uid) : scheduler::work_key(uid, 0);
-            const auto got = co_await store_.get(std::move(key), Urgency::user);
+            const auto got = co_await store_.get(std::move(key), RequestPriority::user);
             if (got.outcome != Outcome::ok) co_return out;
-            if (!got.item.stamp) {
+            if (!got.item.mod_revision) {
                 // It has ended since, and its work been removed.
                 question = put(uid, question->until);
                 continue;
             }
             out.job = learn(uid, got.item);
             if (!out.job) co_return out;
-            links_.job_changed(got.item);
+            callbacks_.job_changed(got.item);
         }
         out.sure = true;
         co_return out;
@@ -332,12 +339,12 @@
 // one. One that is slow, or never answered, does not hold back the next.
 awaitable<void> SubmissionService::ask_loop() {
     while (!questions_.empty()) {
-        const auto now = wire::Clock::now();
+        const auto now = model::Clock::now();
         const auto next = last_asked_ + stagger;
-        const bool full = questions_.size() >= form_.conditions() / 2;
+        const bool full = questions_.size() >= record_format_.conditions() / 2;
         if (under_way_ >= most_under_way || (under_way_ > 0 && !full && now < next)) {
             const bool waits = under_way_ >= most_under_way;
-            co_await asked_.wait(waits ? wire::Clock::duration(std::chrono::seconds(1)) : next - now);
+            co_await asked_.wait(waits ? model::Clock::duration(std::chrono::seconds(1)) : next - now);
             continue;
         }
         auto questions = next_questions();
@@ -353,8 +360,8 @@
 SubmissionService::Questions SubmissionService::next_questions() {
     Questions out;
     std::set<std::string_view> uids;
-    const auto now = wire::Clock::now();
-    const std::size_t most = std::max<std::size_t>(1, form_.conditions() / 2);
+    const auto now = model::Clock::now();
+    const std::size_t most = std::max<std::size_t>(1, record_format_.conditions() / 2);
     for (; !questions_.empty() && uids.size() < most; questions_.pop_front()) {
         if (questions_.front()->until <= now) continue;
         out.push_back(std::move(questions_.front()));
@@ -365,7 +372,7 @@
 
 awaitable<void> SubmissionService::ask(Questions questions) {
     using Answer = Question::Answer;
-    const bool certain = links_.certain();
+    const bool certain = callbacks_.certain();
     std::map<std::string, JobEvidence> held;
     state::Txn txn;
     for (const auto& q : questions) {
@@ -377,7 +384,7 @@
         }
         q->held = it->second;
     }
-    const auto result = co_await store_.commit(std::move(txn), Urgency::user);
+    const auto result = co_await store_.commit(std::move(txn), RequestPriority::user);
     --under_way_;
     asked_.notify();
     const auto exists = [&](const std::string& key) {
@@ -412,7 +419,7 @@
             const auto job = it == sure.end() ? at_hand(open[i]) : it->second;
             cancelled = cancelled || (i > 0 && job && job->state == JobState::cancelled);
             if (!job || job->over()) continue;
-            for (const auto& name : job->prerequisites)
+            for (const auto& name : job->dependencies)
                 if (std::find(open.begin(), open.end(), name) == open.end()) open.push_back(name);
         }
         // What is over needs no check.
@@ -427,7 +434,7 @@
             co_return Look{true, its_own->second};
         if (cancelled && its_own != sure.end()) {
             const auto job = its_own->second;
-            state::Item unread;
+            state::KeyValue unread;
             const auto put_down = co_await put_cancelled(uid, job, std::move(unread));
             if (put_down == Outcome::ok) co_return Look{true, newest(uid, job)};
             if (put_down != Outcome::conflict) co_return Look{};
@@ -450,22 +457,22 @@
 
 // Puts the cancellation of an open job on record, on the condition that it has no outcome. `from`: a record of it, or
 // an absent one.
-awaitable<state::Outcome> SubmissionService::put_cancelled(std::string uid, JobEvidence job, state::Item from) {
-    state::Item item;
+awaitable<state::Outcome> SubmissionService::put_cancelled(std::string uid, JobEvidence job, state::KeyValue from) {
+    state::KeyValue item;
     item.key = scheduler::outcome_key(uid);
     const auto* record = from.value.if_object();
     const auto* spec = record ? record->if_contains("spec") : nullptr;
     // With the time, for a leader that comes later: what is cancelled must be gone by then.
-    item.value = scheduler::outcome_record(form_, JobState::cancelled, links_.time_of_day_ms(),
+    item.value = scheduler::outcome_record(record_format_, JobState::cancelled, callbacks_.time_of_day_ms(),
                                            spec ? &spec->as_object() : nullptr, job->size);
     state::Txn txn;
     txn.conditions.push_back({item.key, 0});
     txn.changes.push_back({item.key, item.value, 0});
-    const auto result = co_await store_.commit(std::move(txn), Urgency::user);
+    const auto result = co_await store_.commit(std::move(txn), RequestPriority::user);
     if (result.outcome == Outcome::ok) {
-        item.stamp = result.revision;
+        item.mod_revision = result.revision;
         known_.learn(uid, {JobState::cancelled, job->size, {}});
-        links_.job_changed(item);
+        callbacks_.job_changed(item);
         spdlog::info("event=cancel_accepted job={}", uid);
     }
     co_return result.outcome;
@@ -476,10 +483,10 @@
     bool read = false;
     for (int round = 0; round < max_tries; ++round) {
         auto job = at_hand(uid);
-        state::Item record;
+        state::KeyValue record;
         // What is known to be open needs not be read first, but for the oldest form, which holds the submission, and
         // where the last try shows that it may be over.
-        if (!job || (!job->over() && (read || !form_.newest()))) {
+        if (!job || (!job->over() && (read || !record_format_.newest()))) {
             auto found = co_await find(uid);
             if (found.outcome != Outcome::ok) break;
             if (!found.job) co_return reply(404, wire::error_body("no such job"));
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -4,10 +4,14 @@
 
 #include <algorithm>
 
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+
 namespace flintdale::app {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 
 namespace {
 
@@ -29,14 +33,14 @@
     return r;
 }
 
-std::vector<wire::MachineType> kept_types(const std::vector<state::Item>& items) {
-    std::vector<wire::MachineType> out;
+std::vector<model::MachineType> kept_types(const std::vector<state::KeyValue>& items) {
+    std::vector<model::MachineType> out;
     for (const auto& item : items) try {
             for (auto& type : wire::parse_catalog(boost::json::serialize(item.value))) {
-                const auto same = [&](const wire::MachineType& t) { return t.name == type.name; };
+                const auto same = [&](const model::MachineType& t) { return t.name == type.name; };
                 if (std::none_of(out.begin(), out.end(), same)) out.push_back(std::move(type));
             }
-        } catch (const wire::BadBody& e) {
+        } catch (const wire::DecodeError& e) {
             spdlog::error("event=record_unreadable key={} why=\"{}\"", item.key, e.what());
         }
     return out;
@@ -51,46 +55,47 @@
 }  // namespace
 
 Controller::Controller(net::Executor ex, const config::Settings& settings, const config::Tunables& tunables,
-                       state::Form& form, Ports ports)
+                       state::RecordFormat& record_format, Ports ports)
     : ex_(ex),
       settings_(settings),
       tunables_(tunables),
-      form_(form),
+      record_format_(record_format),
       ports_(std::move(ports)),
       incarnation_(new_incarnation(ports_.time_of_day_ms())),
       store_(ports_.state, scheduler::jobs_prefix,
-             {[this](const char* why) { keeper_.doubt(why); },
-              [this](const state::Change& change, std::uint64_t revision) { keeper_.written(change, revision); },
-              [this](const std::string& key) { return keeper_.memory().expected(key); },
+             {[this](const char* why) { recovery_.doubt(why); },
+              [this](const state::Change& change, std::uint64_t revision) { recovery_.written(change, revision); },
+              [this](const std::string& key) { return recovery_.replica().expected(key); },
               [](const std::string& key) {
                   const auto work = scheduler::parse_work_key(key);
                   return work ? scheduler::outcome_key(work->uid) : std::string();
               },
-              [this](const std::string& key) { keeper_.missed(key); }}),
+              [this](const std::string& key) { recovery_.missed(key); }}),
       cloud_(ports_.cloud),
       elector_(ex_, store_, settings_.member, tunables_.election_lease,
                {[this](election::Term term) {
                     ports_.state.set_leading(true);
                     term_ = term;
-                    if (term.gap) keeper_.doubt("a term that was seen is not on record");
-                    keeper_.leads(term);
+                    if (term.gap) recovery_.doubt("a term that was seen is not on record");
+                    recovery_.leads(term);
                 },
                 [this] { end_term(); }},
                ports_.time_of_day_ms),
-      members_(store_, settings_, form_,
+      members_(store_, settings_, record_format_,
                [this](const quota::Table& teams) {
                    teams_ = teams;
                    if (leader_term_) leader_term_->scheduler().set_teams(teams);
                }),
       follower_leases_(settings_),
       cancellations_(settings_),
-      fencer_(
-          ex_, cloud_, ports_.workers, settings_,
-          {[this](wire::TimePoint noted) { return somebody_knows(noted); },
-           [this](const std::string& uid) { return keeper_.memory().machines_of(uid); }, [this] { return blind(); }}),
-      reports_(ex_, settings_, tunables_, follower_leases_, incarnation_, report_links()),
-      keeper_(ex_, ports_.state, store_, settings_, form_, recovery::SnapshotFile(tunables_.snapshots), keeper_links()),
-      submissions_(ex_, store_, settings_, form_,
+      fencer_(ex_, cloud_, ports_.workers, settings_,
+              {[this](model::TimePoint noted) { return somebody_knows(noted); },
+               [this](const std::string& uid) { return recovery_.replica().machines_of(uid); },
+               [this] { return cut_off_from_store(); }}),
+      reports_(ex_, settings_, tunables_, follower_leases_, incarnation_, heartbeat_callbacks()),
+      recovery_(ex_, ports_.state, store_, settings_, record_format_, recovery::SnapshotFile(tunables_.snapshots),
+                recovery_callbacks()),
+      submissions_(ex_, store_, settings_, record_format_,
                    {ports_.time_of_day_ms, [this](const std::string& uid) { note_cancelled(uid); },
                     [this] { return types_.empty() ? nullptr : &types_; },
                     [this](const std::string& uid) {
@@ -100,42 +105,42 @@
                         const auto it = counts_.find(uid);
                         return it == counts_.end() ? api::DisplayCount{} : it->second;
                     },
-                    [this](const state::Item& item) {
-                        keeper_.told(item);
+                    [this](const state::KeyValue& item) {
+                        recovery_.told(item);
                         if (leader_term_) leader_term_->job_changed(item);
                     },
                     [this](const std::string& uid) -> std::optional<api::Remembered> {
-                        auto outcome = keeper_.outcome_of(uid);
+                        auto outcome = recovery_.outcome_of(uid);
                         // Nobody is told that a job is cancelled before it is on record: a peer's word of it is as
                         // good.
-                        if ((!outcome || outcome->state == wire::JobState::open) && cancellations_.knows(uid)) {
+                        if ((!outcome || outcome->state == model::JobState::open) && cancellations_.knows(uid)) {
                             if (!outcome) outcome.emplace();
-                            outcome->state = wire::JobState::cancelled;
+                            outcome->state = model::JobState::cancelled;
                         }
                         if (!outcome) return std::nullopt;
                         return api::Remembered{outcome->state, outcome->size};
                     },
-                    [this] { return keeper_.certain(); },
-                    [this](const std::string& uid) -> std::optional<state::Item> {
-                        const auto record = keeper_.memory().record(scheduler::work_key(uid, 0));
+                    [this] { return recovery_.certain(); },
+                    [this](const std::string& uid) -> std::optional<state::KeyValue> {
+                        const auto record = recovery_.replica().record(scheduler::work_key(uid, 0));
                         // What is owed, or damaged, is read where it stands.
-                        if (!record || record->stamp <= recovery::owed_stamp) return std::nullopt;
-                        state::Item item;
+                        if (!record || record->mod_revision <= recovery::deferred_mod_revision) return std::nullopt;
+                        state::KeyValue item;
                         item.key = scheduler::work_key(uid, 0);
                         boost::json::error_code ec;
                         item.value = boost::json::parse(record->text, ec);
-                        item.stamp = record->stamp;
+                        item.mod_revision = record->mod_revision;
                         return ec || !item.value.is_object() ? std::nullopt : std::optional(std::move(item));
                     }},
                    static_cast<std::size_t>(tunables.known_jobs)) {}
 
-recovery::Keeper::Links Controller::keeper_links() {
-    recovery::Keeper::Links links;
-    links.time_of_day_ms = ports_.time_of_day_ms;
-    links.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
-    links.new_term = [this](const char* why) { elector_.again(why); };
-    using Look = recovery::Keeper::Links::Look;
-    links.outcomes = [this](const std::vector<state::Item>& items, wire::TimePoint began, Look look) {
+recovery::RecoveryCoordinator::Callbacks Controller::recovery_callbacks() {
+    recovery::RecoveryCoordinator::Callbacks callbacks;
+    callbacks.time_of_day_ms = ports_.time_of_day_ms;
+    callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
+    callbacks.new_term = [this](const char* why) { elector_.again(why); };
+    using Look = recovery::RecoveryCoordinator::Callbacks::Look;
+    callbacks.outcomes = [this](const std::vector<state::KeyValue>& items, model::TimePoint began, Look look) {
         if (look == Look::after_a_gap) follower_leases_.lost_track(Clock::now());
         follower_leases_.watched(items, began);
         // After a rebuilding it is all there ever were: what of that is told anew is noted then.
@@ -144,52 +149,52 @@
                 note_cancelled(item.key.substr(item.key.rfind('/') + 1));
         if (look == Look::all) follower_leases_.knows_all(began);
     };
-    links.rebuilt = [this] {
+    callbacks.rebuilt = [this] {
         // Jobs that were believed to be open are looked up again; keys that are not rebuilt are put in place anew.
         submissions_.forget_open();
         kept_catalog_ = false;
         net::asio::co_spawn(ex_, members_.enroll_again(), net::asio::detached);
     };
-    links.seen_term = [this] { return elector_.term(); };
-    links.incarnation = incarnation_;
-    return links;
+    callbacks.seen_term = [this] { return elector_.term(); };
+    callbacks.incarnation = incarnation_;
+    return callbacks;
 }
 
 void Controller::begin_term(election::Term term, bool unsettled) {
-    LeaderTerm::Links links;
-    links.doubt = [this] { elector_.doubt(); };
-    links.time_of_day_ms = ports_.time_of_day_ms;
-    links.loss = [this](const char* why, bool beyond_memory) {
-        using Loss = recovery::Keeper::Loss;
-        keeper_.doubt(why, beyond_memory ? Loss::beyond_memory : Loss::seen);
+    LeaderTerm::Callbacks callbacks;
+    callbacks.doubt = [this] { elector_.doubt(); };
+    callbacks.time_of_day_ms = ports_.time_of_day_ms;
+    callbacks.loss = [this](const char* why, bool beyond_memory) {
+        using Loss = recovery::RecoveryCoordinator::Loss;
+        recovery_.doubt(why, beyond_memory ? Loss::beyond_memory : Loss::seen);
     };
-    links.over = [this](const std::string& uid) { return keeper_.memory().over(uid); };
-    links.cancelled_for = [this](const std::string& uid) {
-        const auto outcome = keeper_.outcome_of(uid);
-        if (!outcome || outcome->state != wire::JobState::cancelled) return wire::Seconds(0);
+    callbacks.over = [this](const std::string& uid) { return recovery_.replica().over(uid); };
+    callbacks.cancelled_for = [this](const std::string& uid) {
+        const auto outcome = recovery_.outcome_of(uid);
+        if (!outcome || outcome->state != model::JobState::cancelled) return model::Seconds(0);
         // Former versions did not put down when: it may be for long.
         return over_for(uid).value_or(settings_.cancel * 0.5);
     };
-    links.others_reach_state = [this] {
+    callbacks.others_reach_state = [this] {
         const auto now = Clock::now();
         return std::any_of(peer_state_.begin(), peer_state_.end(),
                            [&](const auto& entry) { return entry.second.state_ok && now - entry.second.heard < 3s; });
     };
-    links.told_until = [this](wire::TimePoint looked) { return told_until(looked); };
+    callbacks.cancellations_known_until = [this](model::TimePoint looked) { return cancellations_known_until(looked); };
     // A leader that came late may have no time left to wait until a report is overdue.
-    links.over_already = [this](const std::string& uid) {
-        const auto outcome = keeper_.outcome_of(uid);
-        if (outcome && outcome->state == wire::JobState::cancelled)
+    callbacks.over_already = [this](const std::string& uid) {
+        const auto outcome = recovery_.outcome_of(uid);
+        if (outcome && outcome->state == model::JobState::cancelled)
             if (const auto ago = over_for(uid); ago && *ago < settings_.cancel)
-                fencer_.cancelled(uid, Clock::now() - wire::to_clock(*ago));
+                fencer_.cancelled(uid, Clock::now() - model::to_clock(*ago));
     };
-    links.told_cancelled = [this](const std::string& uid) { return cancellations_.knows(uid); };
-    links.again = [this](const char* why) { elector_.again(why); };
-    links.settled = [this] { keeper_.settled(); };
-    links.seen = [this](const state::Item& item) { keeper_.told(item); };
-    links.open = [this] { return keeper_.memory().open_jobs(); };
-    leader_term_ = std::make_shared<LeaderTerm>(ex_, store_, cloud_, settings_, tunables_, form_, term, unsettled,
-                                                std::move(links));
+    callbacks.told_cancelled = [this](const std::string& uid) { return cancellations_.knows(uid); };
+    callbacks.again = [this](const char* why) { elector_.again(why); };
+    callbacks.settled = [this] { recovery_.settled(); };
+    callbacks.seen = [this](const state::KeyValue& item) { recovery_.told(item); };
+    callbacks.open = [this] { return recovery_.replica().open_jobs(); };
+    leader_term_ = std::make_shared<LeaderTerm>(ex_, store_, cloud_, settings_, tunables_, record_format_, term,
+                                                unsettled, std::move(callbacks));
     if (teams_) leader_term_->scheduler().set_teams(*teams_);
     reports_.term_changed();
     leader_term_->start(types_);
@@ -200,20 +205,21 @@
     const auto now = Clock::now();
     if (!cancellations_.note(uid, now)) return;
     follower_leases_.cancelled(uid, now);
-    fencer_.cancelled(uid, now - wire::to_clock(std::min(over_for(uid).value_or(wire::Seconds(0)), settings_.cancel)));
+    fencer_.cancelled(uid,
+                      now - model::to_clock(std::min(over_for(uid).value_or(model::Seconds(0)), settings_.cancel)));
     if (leader_term_) leader_term_->cancelled_elsewhere(uid);
 }
 
 // For how long a job has been over, by the time of day on record; nothing if that is not known.
-std::optional<wire::Seconds> Controller::over_for(const std::string& uid) const {
-    const auto at = keeper_.memory().over_since_ms(uid);
+std::optional<model::Seconds> Controller::over_for(const std::string& uid) const {
+    const auto at = recovery_.replica().over_since_ms(uid);
     if (!at) return std::nullopt;
-    return std::max(wire::Seconds(0), wire::Seconds(std::chrono::milliseconds(ports_.time_of_day_ms() - *at)));
+    return std::max(model::Seconds(0), model::Seconds(std::chrono::milliseconds(ports_.time_of_day_ms() - *at)));
 }
 
 // Where the state service answers, whoever leads reads what is cancelled there; and a leader whose messages say that it
 // has heard of it sees to it. A term that has read nothing yet does not know where tasks are.
-bool Controller::somebody_knows(wire::TimePoint noted) const {
+bool Controller::somebody_knows(model::TimePoint noted) const {
     const auto now = Clock::now();
     if (leader_term_ && leader_term_->loaded()) return leader_term_->heard_out();
     if (ports_.state.healthy(now)) return true;
@@ -224,22 +230,22 @@
     });
 }
 
-bool Controller::blind() const {
+bool Controller::cut_off_from_store() const {
     const auto now = Clock::now();
-    if (keeper_.ready() || ports_.state.healthy(now)) return false;
+    if (recovery_.ready() || ports_.state.healthy(now)) return false;
     return std::none_of(peer_state_.begin(), peer_state_.end(), [&](const auto& entry) {
         const auto& peer = entry.second;
         return now - peer.heard < 3s && (peer.state_ok || peer.knows_records);
     });
 }
 
-wire::TimePoint Controller::told_until(wire::TimePoint looked) const {
+model::TimePoint Controller::cancellations_known_until(model::TimePoint looked) const {
     return cancellations_.known_at(looked, Clock::now());
 }
 
 void Controller::end_term() {
     ports_.state.set_leading(false);
-    keeper_.deposed();
+    recovery_.deposed();
     if (leader_term_) leader_term_->stop();
     leader_term_.reset();
 }
@@ -247,7 +253,7 @@
 void Controller::start() {
     net::asio::co_spawn(ex_, elector_.run(), net::asio::detached);
     net::asio::co_spawn(ex_, members_.run(), net::asio::detached);
-    net::asio::co_spawn(ex_, keeper_.run(), net::asio::detached);
+    net::asio::co_spawn(ex_, recovery_.run(), net::asio::detached);
     net::asio::co_spawn(ex_, fencer_.run(), net::asio::detached);
     net::asio::co_spawn(ex_, catalog_loop(), net::asio::detached);
     net::asio::co_spawn(ex_, peer_loop(), net::asio::detached);
@@ -273,7 +279,7 @@
 // A controller that starts while the cloud is out of order still has to tell what can run: the machine types are
 // kept in the state service too.
 awaitable<void> Controller::keep_catalog() {
-    auto kept = co_await store_.range(catalog_key, std::string(), state::Urgency::bookkeeping);
+    auto kept = co_await store_.range(catalog_key, std::string(), state::RequestPriority::bookkeeping);
     if (kept.outcome != state::Outcome::ok) co_return;
     kept_catalog_ = true;
     if (kept_types(kept.items).size() == types_.size()) co_return;
@@ -282,7 +288,7 @@
     for (std::size_t at = 0; at < types_.size(); ++n) {
         auto count = types_.size() - at;
         auto record = wire::catalog_record({types_.begin() + static_cast<std::ptrdiff_t>(at), types_.end()});
-        while (count > 1 && !form_.fits(record)) {
+        while (count > 1 && !record_format_.fits(record)) {
             count = (count + 1) / 2;
             record = wire::catalog_record({types_.begin() + static_cast<std::ptrdiff_t>(at),
                                            types_.begin() + static_cast<std::ptrdiff_t>(at + count)});
@@ -292,14 +298,14 @@
         const auto old =
             std::find_if(kept.items.begin(), kept.items.end(), [&](const auto& i) { return i.key == key; });
         state::Txn txn;
-        txn.conditions.push_back({key, old == kept.items.end() ? 0 : old->stamp});
+        txn.conditions.push_back({key, old == kept.items.end() ? 0 : old->mod_revision});
         txn.changes.push_back({key, std::move(record), 0});
-        co_await store_.commit(std::move(txn), state::Urgency::bookkeeping);
+        co_await store_.commit(std::move(txn), state::RequestPriority::bookkeeping);
     }
 }
 
 awaitable<void> Controller::recall_catalog() {
-    auto kept = co_await store_.range(catalog_key, std::string(), state::Urgency::bookkeeping);
+    auto kept = co_await store_.range(catalog_key, std::string(), state::RequestPriority::bookkeeping);
     if (kept.outcome != state::Outcome::ok || !types_.empty()) co_return;
     types_ = kept_types(kept.items);
     if (leader_term_ && !types_.empty()) leader_term_->catalog(types_);
@@ -316,52 +322,56 @@
 
 awaitable<void> Controller::peer_loop() {
     for (;;) {
-        peer::Beat b;
+        peer::StatusMessage b;
         b.member = settings_.member;
         b.leader = elector_.leader();
         b.term = elector_.term();
         b.state_ok = ports_.state.healthy(Clock::now());
         b.leading = elector_.leading();
         b.writes = ports_.state.take_write_demand();
-        b.format = static_cast<std::uint32_t>(form_.format());
+        b.format = static_cast<std::uint32_t>(record_format_.format());
         share_writes(b.writes);
         if (leader_term_)
             for (auto& [uid, c] : leader_term_->scheduler().take_counts()) b.counts.push_back({uid, c.done, c.running});
-        const auto word = keeper_.own_word();
-        b.generation = word.generation;
-        b.history = word.id;
-        b.remembers = word.remembers;
-        b.rebuilding = word.rebuilding;
+        const auto records = recovery_.own_status();
+        b.generation = records.generation;
+        b.history = records.id;
+        b.remembers = records.remembers;
+        b.rebuilding = records.rebuilding;
         b.incarnation = incarnation_;
-        b.word = cancellations_.say(Clock::now());
+        b.cancellations = cancellations_.say(Clock::now());
         reports_.describe(b);
-        ports_.tell_peers(b);
-        resign_if_deaf();
+        ports_.broadcast_status(b);
+        resign_if_cut_off_from_workers();
         // Until it is known whether anybody knows of a marker, nobody can be served.
-        co_await net::sleep_for(keeper_.ready() ? 1000ms : 100ms);
+        co_await net::sleep_for(recovery_.ready() ? 1000ms : 100ms);
     }
 }
 
 // A leader that reaches the state service and not the workers would keep its claim while every worker's lease runs out.
 // Workers that it does not answer knock at the others, and in vain, for those send them back here: so where the others
 // hear clearly more workers than this leader does, one of them shall lead.
-void Controller::resign_if_deaf() {
+void Controller::resign_if_cut_off_from_workers() {
     if (!leader_term_) return;
     const auto now = Clock::now();
-    const auto hearing = leader_term_->scheduler().hearing(now);
-    if (!hearing.deaf()) return;
+    const auto heartbeat_coverage = leader_term_->scheduler().heartbeat_coverage(now);
+    if (!heartbeat_coverage.cut_off_from_workers()) return;
     double redirects = 0;
     // Who hears no worker and no peer is cut off, and needs no other word. A few workers, as a new leader hears at
     // first when a zone is cut off and takes the other controllers with it, are reason enough to stay.
-    bool alone = !settings_.peers.empty() && hearing.heard == 0;
+    bool alone = !settings_.peers.empty() && heartbeat_coverage.heard == 0;
     for (const auto& [member, peer] : peer_state_) {
         if (now - peer.heard >= 3s) continue;
         alone = false;
         if (peer.state_ok) redirects += peer.redirects;
     }
-    spdlog::debug("event=hears_few expected={} heard={} redirects={:.0f}", hearing.expected, hearing.heard, redirects);
-    if (!alone && redirects < static_cast<double>(hearing.heard) + static_cast<double>(hearing.expected) / 4) return;
-    spdlog::info("event=deaf expected={} heard={} redirects={:.0f}", hearing.expected, hearing.heard, redirects);
+    spdlog::debug("event=hears_few expected={} heard={} redirects={:.0f}", heartbeat_coverage.expected,
+                  heartbeat_coverage.heard, redirects);
+    if (!alone && redirects < static_cast<double>(heartbeat_coverage.heard) +
+                                  static_cast<double>(heartbeat_coverage.expected) / 4)
+        return;
+    spdlog::info("event=deaf expected={} heard={} redirects={:.0f}", heartbeat_coverage.expected,
+                 heartbeat_coverage.heard, redirects);
     elector_.resign("workers reach the others and not this one");
 }
 
@@ -377,23 +387,26 @@
     ports_.state.set_write_demand(own, all);
 }
 
-void Controller::received(const peer::Beat& beat) {
+void Controller::received(const peer::StatusMessage& status) {
     using From = peer::Incarnations::From;
-    const auto from = incarnations_.heard(beat.member, beat.incarnation, beat.connection);
+    const auto from = incarnations_.heard(status.member, status.incarnation, status.connection);
     if (from == From::former) return;  // held on its way: what it says of itself is true of nobody
-    if (from == From::next) peer_state_.erase(beat.member);
-    for (const auto& uid : beat.word.lately) note_cancelled(uid);
-    cancellations_.heard(beat.member, beat.incarnation, incarnation_, beat.word, Clock::now());
-    elector_.heard(beat.term, beat.leader);
-    form_.all_read(beat.format);
-    keeper_.heard(beat.member, {beat.generation, beat.remembers, beat.history, beat.rebuilding, {}});
-    auto& peer = peer_state_[beat.member];
-    peer = {
-        Clock::now(),       beat.state_ok, beat.leading, beat.writes, peer.redirects * redirects_kept + beat.redirects,
-        beat.generation > 0};
-    reports_.received(beat);
+    if (from == From::next) peer_state_.erase(status.member);
+    for (const auto& uid : status.cancellations.lately) note_cancelled(uid);
+    cancellations_.heard(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
+    elector_.heard(status.term, status.leader);
+    record_format_.all_read(status.format);
+    recovery_.heard(status.member, {status.generation, status.remembers, status.history, status.rebuilding, {}});
+    auto& peer = peer_state_[status.member];
+    peer = {Clock::now(),
+            status.state_ok,
+            status.leading,
+            status.writes,
+            peer.redirects * redirects_kept + status.redirects,
+            status.generation > 0};
+    reports_.received(status);
     if (counts_.size() > max_counts) counts_.clear();
-    for (const auto& c : beat.counts) counts_[c.uid] = {c.done, c.running};
+    for (const auto& c : status.counts) counts_[c.uid] = {c.done, c.running};
 }
 
 // A controller that alone is cut off from the state service leaves the users to the others. In an outage that all
@@ -412,37 +425,38 @@
         if (alone) return reply(503, wire::error_body("neither the state service nor another controller is heard"));
     }
     // Whoever takes turns with others in an upgrade is counted before it serves; in an outage nobody can be.
-    if ((!members_.enrolled() || !keeper_.ready()) && ports_.state.healthy(now))
+    if ((!members_.enrolled() || !recovery_.ready()) && ports_.state.healthy(now))
         return reply(503, wire::error_body("not enrolled yet"));
     if (types_.empty()) return reply(503, wire::error_body("the machine types are not known yet"));
     return reply(200, "{\"ready\":true}");
 }
 
 // A report has arrived, directly or relayed.
-void Controller::note_report(const wire::WorkerReport& r) {
-    if (r.token > elector_.term()) elector_.heard(r.token, std::string());
+void Controller::note_report(const model::Heartbeat& r) {
+    if (r.fencing_token > elector_.term()) elector_.heard(r.fencing_token, std::string());
     fencer_.heard(r.machine);
     // Between this leader's term and the one on record before it there was none, unless the records of one were lost.
-    if (elector_.leading() && keeper_.ready() && r.token > std::max(term_.previous, keeper_.rebuilt_under()) &&
-        r.token < term_.number)
-        keeper_.doubt("a worker has seen a term that is not on record", recovery::Keeper::Loss::beyond_memory);
+    if (elector_.leading() && recovery_.ready() &&
+        r.fencing_token > std::max(term_.previous, recovery_.rebuilt_under()) && r.fencing_token < term_.number)
+        recovery_.doubt("a worker has seen a term that is not on record",
+                        recovery::RecoveryCoordinator::Loss::beyond_memory);
 }
 
-ReportService::Links Controller::report_links() {
-    ReportService::Links links;
-    links.noticed = [this](const wire::WorkerReport& r) { note_report(r); };
-    links.leading = [this] { return elector_.leading(); };
-    links.rebuilding = [this] { return keeper_.rebuilding() != 0; };
-    links.leader_term = [this] { return leader_term_; };
-    links.own_term = [this] { return term_.number; };
-    links.newest_term = [this] { return elector_.term(); };
-    links.leader = [this] { return elector_.leader(); };
-    links.leaderless = [this] { return leaderless(); };
-    links.state_healthy = [this] { return ports_.state.healthy(Clock::now()); };
-    links.told_until = [this] { return told_until(follower_leases_.looked_at()); };
-    links.shown = [this](const wire::WorkerReport& r) { keeper_.shown(r); };
-    links.send = [this](const std::string& member, const peer::RelayMessage& m) { return ports_.relay(member, m); };
-    return links;
+HeartbeatService::Callbacks Controller::heartbeat_callbacks() {
+    HeartbeatService::Callbacks callbacks;
+    callbacks.noticed = [this](const model::Heartbeat& r) { note_report(r); };
+    callbacks.leading = [this] { return elector_.leading(); };
+    callbacks.rebuilding = [this] { return recovery_.rebuilding() != 0; };
+    callbacks.leader_term = [this] { return leader_term_; };
+    callbacks.own_term = [this] { return term_.number; };
+    callbacks.newest_term = [this] { return elector_.term(); };
+    callbacks.leader = [this] { return elector_.leader(); };
+    callbacks.leaderless = [this] { return leaderless(); };
+    callbacks.state_healthy = [this] { return ports_.state.healthy(Clock::now()); };
+    callbacks.cancellations_known_until = [this] { return cancellations_known_until(follower_leases_.looked_at()); };
+    callbacks.shown = [this](const model::Heartbeat& r) { recovery_.shown(r); };
+    callbacks.send = [this](const std::string& member, const peer::RelayMessage& m) { return ports_.relay(member, m); };
+    return callbacks;
 }
 
 awaitable<net::Reply> Controller::handle(net::Request request) {
--- a/src/app/fencer.cpp
+++ b/src/app/fencer.cpp
@@ -4,13 +4,15 @@
 
 #include <algorithm>
 
+#include "model/machine.hpp"
+#include "model/task.hpp"
 #include "scheduler/lease_rule.hpp"
 
 namespace flintdale::app {
 
 using namespace std::chrono_literals;
-using wire::Clock;
-using wire::Seconds;
+using model::Clock;
+using model::Seconds;
 
 namespace {
 constexpr auto look_gap = 1s;
@@ -24,10 +26,15 @@
 }  // namespace
 
 Fencer::Fencer(net::Executor ex, cloud::Cloud& cloud, worker::Workers& workers, const config::Settings& settings,
-               Links links)
-    : ex_(ex), cloud_(cloud), workers_(workers), settings_(settings), links_(std::move(links)), began_(Clock::now()) {}
-
-void Fencer::cancelled(const std::string& uid, wire::TimePoint at) {
+               Callbacks callbacks)
+    : ex_(ex),
+      cloud_(cloud),
+      workers_(workers),
+      settings_(settings),
+      callbacks_(std::move(callbacks)),
+      began_(Clock::now()) {}
+
+void Fencer::cancelled(const std::string& uid, model::TimePoint at) {
     cancelled_.emplace(at, Cancelled{uid, Clock::now()});
 }
 
@@ -43,9 +50,9 @@
     const auto now = Clock::now();
     for (const auto& [at, job] : cancelled_) {
         const auto& uid = job.uid;
-        if (now < at + wire::to_clock(scheduler::give_up_silent_after(settings_) - ask_before)) break;
-        if (links_.somebody_knows(job.noted)) continue;
-        for (const auto& machine : links_.machines_of(uid)) {
+        if (now < at + model::to_clock(scheduler::give_up_silent_after(settings_) - ask_before)) break;
+        if (callbacks_.somebody_knows(job.noted)) continue;
+        for (const auto& machine : callbacks_.machines_of(uid)) {
             if (const auto it = clear_.find(machine); it != clear_.end() && it->second.contains(uid)) continue;
             if (out.jobs.empty()) out.first = at;
             out.jobs[machine].insert(uid);
@@ -55,33 +62,33 @@
 }
 
 void Fencer::heard(const std::string& machine) {
-    if (links_.blind()) heard_[machine] = Clock::now();
+    if (callbacks_.cut_off_from_store()) heard_[machine] = Clock::now();
 }
 
 // Whatever was cancelled was so before this life began. Leaders return such machines after half of cancel_s, so what is
 // left has that long at most; and leases that nobody renews run out meanwhile.
-bool Fencer::blind_for_long() const {
-    return links_.blind() &&
-           Clock::now() - began_ > wire::to_clock(scheduler::give_up_silent_after(settings_) - blind_before);
+bool Fencer::cut_off_from_store_for_long() const {
+    return callbacks_.cut_off_from_store() &&
+           Clock::now() - began_ > model::to_clock(scheduler::give_up_silent_after(settings_) - blind_before);
 }
 
-Fencer::Due Fencer::unknown(const std::vector<wire::ListedMachine>& listed) const {
+Fencer::Due Fencer::unknown(const std::vector<model::ListedMachine>& listed) const {
     Due out;
     for (const auto& m : listed) {
         const auto it = heard_.find(m.name);
-        const bool lately = it != heard_.end() && Clock::now() - it->second < wire::to_clock(settings_.lease);
-        if (m.status == wire::MachineStatus::running && !lately) out.jobs[m.name].insert(anything);
+        const bool lately = it != heard_.end() && Clock::now() - it->second < model::to_clock(settings_.lease);
+        if (m.status == model::MachineStatus::running && !lately) out.jobs[m.name].insert(anything);
     }
     return out;
 }
 
 awaitable<void> Fencer::look() {
     const auto now = Clock::now();
-    while (!cancelled_.empty() && now - cancelled_.begin()->first > wire::to_clock(settings_.cancel))
+    while (!cancelled_.empty() && now - cancelled_.begin()->first > model::to_clock(settings_.cancel))
         cancelled_.erase(cancelled_.begin());
-    if (!links_.blind()) heard_.clear();
+    if (!callbacks_.cut_off_from_store()) heard_.clear();
     auto found = due();
-    if (found.jobs.empty() && !blind_for_long()) {
+    if (found.jobs.empty() && !cut_off_from_store_for_long()) {
         clear_.clear();
         silent_.clear();
         co_return;
@@ -90,9 +97,9 @@
     std::map<std::string, std::string> addresses;
     if (listed)
         for (const auto& m : *listed)
-            if (m.status != wire::MachineStatus::failed) addresses[m.name] = m.addr;
-    const bool blind = listed && blind_for_long();
-    if (blind) found = unknown(*listed);
+            if (m.status != model::MachineStatus::failed) addresses[m.name] = m.addr;
+    const bool cut_off_from_store = listed && cut_off_from_store_for_long();
+    if (cut_off_from_store) found = unknown(*listed);
     const auto silent_before = std::exchange(silent_, {});
     for (auto& [machine, jobs] : found.jobs) {
         while (asking_ >= most_asked) co_await net::sleep_for(20ms);
@@ -107,12 +114,12 @@
     }
     while (asking_ > 0) co_await net::sleep_for(20ms);
     // Somebody who knows may lead by now; and what has not been silent for long is asked once more.
-    if (blind) {
-        if (!blind_for_long()) co_return;
+    if (cut_off_from_store) {
+        if (!cut_off_from_store_for_long()) co_return;
         std::erase_if(found.jobs, [&](const auto& entry) { return !silent_before.contains(entry.first); });
     } else {
         found = due();
-        const bool early = Clock::now() < found.first + wire::to_clock(scheduler::give_up_silent_after(settings_));
+        const bool early = Clock::now() < found.first + model::to_clock(scheduler::give_up_silent_after(settings_));
         if (found.jobs.empty() || early) co_return;
     }
     std::vector<std::string> names;
@@ -141,7 +148,7 @@
         co_return;
     }
     for (const auto& t : report->tasks)
-        if (t.status != wire::TaskStatus::exited) jobs.erase(t.id.uid);
+        if (t.status != model::TaskStatus::exited) jobs.erase(t.id.uid);
     clear_[machine].merge(jobs);
 }
 
--- a/src/app/fencer.hpp
+++ b/src/app/fencer.hpp
@@ -18,6 +18,8 @@
 
 #include "cloud/client.hpp"
 #include "config/settings.hpp"
+#include "model/clock.hpp"
+#include "model/machine.hpp"
 #include "worker/client.hpp"
 
 namespace flintdale::app {
@@ -26,19 +28,19 @@
 
 class Fencer {
   public:
-    struct Links {
+    struct Callbacks {
         // Whether somebody leads, or may by the records, who knows of all that was noted here until then.
-        std::function<bool(wire::TimePoint)> somebody_knows;
+        std::function<bool(model::TimePoint)> somebody_knows;
         // Machines that tasks of the job are placed on, by the records as they are remembered.
         std::function<std::set<std::string>(const std::string& uid)> machines_of;
         // Whether neither this life of the controller nor any that it hears has ever read the records.
-        std::function<bool()> blind;
+        std::function<bool()> cut_off_from_store;
     };
     Fencer(net::Executor ex, cloud::Cloud& cloud, worker::Workers& workers, const config::Settings& settings,
-           Links links);
+           Callbacks callbacks);
 
     // The job was cancelled then, and that is known here from now on.
-    void cancelled(const std::string& uid, wire::TimePoint at);
+    void cancelled(const std::string& uid, model::TimePoint at);
     // A worker has reported.
     void heard(const std::string& machine);
     awaitable<void> run();
@@ -49,28 +51,28 @@
   private:
     struct Due {
         std::map<std::string, std::set<std::string>> jobs;  // machine -> jobs that it may hold
-        wire::TimePoint first{};                            // when the first of them was cancelled
+        model::TimePoint first{};                           // when the first of them was cancelled
     };
     Due due() const;
     // What a list shows that may hold anything, for all that anybody knows.
-    Due unknown(const std::vector<wire::ListedMachine>& listed) const;
-    bool blind_for_long() const;
+    Due unknown(const std::vector<model::ListedMachine>& listed) const;
+    bool cut_off_from_store_for_long() const;
     awaitable<void> ask(std::string machine, std::string address, std::set<std::string> jobs);
 
     net::Executor ex_;
     cloud::Cloud& cloud_;
     worker::Workers& workers_;
     const config::Settings& settings_;
-    Links links_;
+    Callbacks callbacks_;
     struct Cancelled {
         std::string uid;
-        wire::TimePoint noted;
+        model::TimePoint noted;
     };
-    std::multimap<wire::TimePoint, Cancelled> cancelled_;  // by when they were, for as long as cancel_s
-    std::map<std::string, std::set<std::string>> clear_;   // machine -> jobs that are known to be gone from it
-    std::set<std::string> silent_;                         // machines that did not answer in this look
-    std::map<std::string, wire::TimePoint> heard_;         // while blind: machines, when they last reported
-    wire::TimePoint began_;
+    std::multimap<model::TimePoint, Cancelled> cancelled_;  // by when they were, for as long as cancel_s
+    std::map<std::string, std::set<std::string>> clear_;    // machine -> jobs that are known to be gone from it
+    std::set<std::string> silent_;                          // machines that did not answer in this look
+    std::map<std::string, model::TimePoint> heard_;         // while blind: machines, when they last reported
+    model::TimePoint began_;
     std::size_t asking_ = 0, fenced_ = 0;
 };
 
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -2,16 +2,18 @@
 
 #include <spdlog/spdlog.h>
 
-#include "recovery/keeper.hpp"
+#include "model/heartbeat.hpp"
+#include "model/machine.hpp"
+#include "recovery/recovery_coordinator.hpp"
 #include "scheduler/lease_rule.hpp"
 
 namespace flintdale::app {
 
 using namespace std::chrono_literals;
+using model::Clock;
+using model::Seconds;
 using state::Outcome;
-using state::Urgency;
-using wire::Clock;
-using wire::Seconds;
+using state::RequestPriority;
 
 namespace {
 constexpr std::chrono::milliseconds follow_hold{1000};
@@ -27,17 +29,17 @@
 }  // namespace
 
 LeaderTerm::LeaderTerm(net::Executor ex, state::Store& store, cloud::Cloud& cloud, const config::Settings& settings,
-                       const config::Tunables& tunables, const state::Form& form, election::Term term, bool unsettled,
-                       Links links)
+                       const config::Tunables& tunables, const state::RecordFormat& record_format, election::Term term,
+                       bool unsettled, Callbacks callbacks)
     : ex_(ex),
       store_(store),
       cloud_(cloud),
       settings_(settings),
-      form_(form),
-      links_(std::move(links)),
+      record_format_(record_format),
+      callbacks_(std::move(callbacks)),
       term_(term.number),
-      scheduler_(settings, tunables, form, term.number, term.stamp, Clock::now()),
-      hints_(form),
+      scheduler_(settings, tunables, record_format, term.number, term.mod_revision, Clock::now()),
+      hints_(record_format),
       commit_(ex),
       plan_(ex),
       last_awake_(Clock::now()) {
@@ -57,7 +59,7 @@
 }
 }  // namespace
 
-void LeaderTerm::start(const std::vector<wire::MachineType>& types) {
+void LeaderTerm::start(const std::vector<model::MachineType>& types) {
     if (!types.empty()) scheduler_.catalog(types);
     auto self = shared_from_this();
     net::asio::co_spawn(ex_, run_loop(self, learn_loop()), net::asio::detached);
@@ -77,73 +79,73 @@
     plan_.notify();
 }
 
-void LeaderTerm::catalog(const std::vector<wire::MachineType>& types) { scheduler_.catalog(types); }
+void LeaderTerm::catalog(const std::vector<model::MachineType>& types) { scheduler_.catalog(types); }
 
 bool LeaderTerm::entitled(TimePoint now) const {
     if (!loaded_ || stopped_) return false;
     return scheduler::may_answer(settings_, now, fresh_) ||
-           scheduler::may_answer(settings_, now, links_.told_until(fresh_));
+           scheduler::may_answer(settings_, now, callbacks_.cancellations_known_until(fresh_));
 }
 
 // The time, for whoever is about to act on what was believed before. The clock runs on while a process stands still, so
 // after a gap what was not heard says nothing about machines, and somebody else may lead by now. The loops call this at
 // least once a second; whichever runs first after a gap finds it.
-wire::TimePoint LeaderTerm::awake() {
+model::TimePoint LeaderTerm::awake() {
     const auto now = Clock::now();
     if (const auto gap = now - last_awake_; gap > stall) {
         spdlog::info("event=stood_still seconds={:.1f}", Seconds(gap).count());
-        scheduler_.stood_still(gap);
-        links_.doubt();
+        scheduler_.process_paused(gap);
+        callbacks_.doubt();
     }
     last_awake_ = now;
     return now;
 }
 
-awaitable<LeaderTerm::Orders> LeaderTerm::report(wire::WorkerReport r) {
+awaitable<LeaderTerm::Commands> LeaderTerm::report(model::Heartbeat r) {
     auto self = shared_from_this();
     for (int i = 0; i < 25 && !loaded_ && !stopped_; ++i) co_await net::sleep_for(100ms);
     auto decision = decide(r);
-    if (!decision.wait) co_return std::move(decision.orders);
+    if (!decision.wait) co_return std::move(decision.commands);
     co_return co_await await_runs(std::move(r), std::move(decision));
 }
 
-LeaderTerm::Decision LeaderTerm::decide(const wire::WorkerReport& r) {
+LeaderTerm::Decision LeaderTerm::decide(const model::Heartbeat& r) {
     Decision out;
     const auto now = awake();
     if (!entitled(now)) return out;
     const bool was_dirty = scheduler_.dirty();
-    out.orders = scheduler_.report(r, now);
-    if (scheduler_.loss_seen()) links_.loss("a worker holds an attempt that is not on record", true);
-    if (!out.orders) return out;
+    out.commands = scheduler_.report(r, now);
+    if (scheduler_.loss_seen()) callbacks_.loss("a worker holds an attempt that is not on record", true);
+    if (!out.commands) return out;
     if (scheduler_.dirty()) {
         if (!was_dirty) commit_.notify();
         stir_ = true;
         plan_.notify();
     }
     out.passes = scheduler_.passes();
-    out.wait = out.orders->empty() && scheduler_.prospect(r, out.passes) != scheduler::Scheduler::Prospect::nothing;
+    out.wait = out.commands->empty() && scheduler_.prospect(r, out.passes) != scheduler::Scheduler::Prospect::nothing;
     return out;
 }
 
-// Orders travel in answers only, and the next report may be seconds away: where this one has made room, or a placement
-// is just being written, the answer waits a moment to carry the run. Workers wait for four seconds.
-awaitable<LeaderTerm::Orders> LeaderTerm::await_runs(wire::WorkerReport r, Decision decision) {
+// Commands travel in answers only, and the next report may be seconds away: where this one has made room, or a
+// placement is just being written, the answer waits a moment to carry the run. Workers wait for four seconds.
+awaitable<LeaderTerm::Commands> LeaderTerm::await_runs(model::Heartbeat r, Decision decision) {
     auto self = shared_from_this();
     using Prospect = scheduler::Scheduler::Prospect;
-    for (auto held = 0ms; decision.orders->empty(); held += hold_step) {
+    for (auto held = 0ms; decision.commands->empty(); held += hold_step) {
         const auto prospect = scheduler_.prospect(r, decision.passes);
         if (prospect == Prospect::nothing || held >= (prospect == Prospect::a_write ? hold_for_write : hold_for_plan))
             break;
         co_await net::sleep_for(hold_step);
         if (!entitled(Clock::now())) co_return std::nullopt;
-        *decision.orders = scheduler_.runs(r);
+        *decision.commands = scheduler_.runs(r);
     }
-    co_return std::move(decision.orders);
+    co_return std::move(decision.commands);
 }
 
-void LeaderTerm::job_changed(const state::Item& item) {
+void LeaderTerm::job_changed(const state::KeyValue& item) {
     if (!loaded_ || stopped_) return;
-    if (scheduler_.job_changed(item, Clock::now(), links_.time_of_day_ms())) wake();
+    if (scheduler_.job_changed(item, Clock::now(), callbacks_.time_of_day_ms())) wake();
 }
 
 void LeaderTerm::cancelled_elsewhere(const std::string& uid) {
@@ -162,7 +164,7 @@
     Everything out;
     std::string after;
     for (;;) {
-        auto page = co_await store_.range(prefix, after, Urgency::leadership);
+        auto page = co_await store_.range(prefix, after, RequestPriority::leadership);
         if (stopped_) co_return std::nullopt;
         if (page.outcome != Outcome::ok) {
             co_await net::sleep_for(150ms);
@@ -181,16 +183,17 @@
     const auto began = Clock::now();
     const auto work = co_await read_all(scheduler::work_prefix);
     if (!work) co_return false;
-    scheduler_.load(work->items, Clock::now(), links_.time_of_day_ms());
+    scheduler_.load(work->items, Clock::now(), callbacks_.time_of_day_ms());
     const bool sound = co_await check_open_jobs();
     if (!sound) {
         co_await net::sleep_for(100ms);
         co_return false;
     }
     // A job may have been cancelled after its outcome was looked for, and the word of it have come while this was still
-    // being read: the watch tells it too, but not in an outage that begins now, and told_until goes by it.
+    // being read: the watch tells it too, but not in an outage that begins now, and cancellations_known_until goes by
+    // it.
     for (const auto& uid : scheduler_.open_jobs())
-        if (links_.told_cancelled(uid)) scheduler_.cancelled_elsewhere(uid, Clock::now());
+        if (callbacks_.told_cancelled(uid)) scheduler_.cancelled_elsewhere(uid, Clock::now());
     followed_ = work->revision;
     fresh_ = began;
     if (!loaded_) loaded_at_ = Clock::now();
@@ -208,11 +211,11 @@
     for (std::size_t at = 0; at < open.size(); at += most) {
         state::TxnResult result;
         do {
-            most = form_.conditions();  // which may fall from one try to the next
+            most = record_format_.conditions();  // which may fall from one try to the next
             state::Txn txn;
             for (std::size_t i = at; i < std::min(open.size(), at + most); ++i)
                 txn.conditions.push_back({scheduler::outcome_key(open[i]), 0});
-            result = co_await store_.commit(std::move(txn), Urgency::leadership);
+            result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
             if (stopped_) co_return false;
             if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict) co_await net::sleep_for(150ms);
         } while (result.outcome != Outcome::ok && result.outcome != Outcome::conflict);
@@ -226,27 +229,27 @@
 }
 
 void LeaderTerm::ended(const std::string& uid) {
-    scheduler_.ended(uid, Clock::now(), links_.cancelled_for(uid));
-    links_.over_already(uid);
+    scheduler_.ended(uid, Clock::now(), callbacks_.cancelled_for(uid));
+    callbacks_.over_already(uid);
 }
 
 bool LeaderTerm::heard_out() const {
-    return loaded_ && Clock::now() - loaded_at_ > wire::to_clock(settings_.report * 1.25 + Seconds(3));
+    return loaded_ && Clock::now() - loaded_at_ > model::to_clock(settings_.report * 1.25 + Seconds(3));
 }
 
 // What is remembered to be open is on record, or over by now. Where it is neither, the store passes the answer on to
 // the keeper and not here; a job that is remembered to be over and lacks its outcome has been found by the look before.
 awaitable<bool> LeaderTerm::check_remembered() {
     std::vector<std::string> asked;
-    for (auto& uid : links_.open())
+    for (auto& uid : callbacks_.open())
         if (!scheduler_.knows(uid)) asked.push_back(std::move(uid));
     for (std::size_t at = 0; at < asked.size();) {
         state::Txn txn;
-        for (; at < asked.size() && txn.conditions.size() + 2 <= form_.conditions(); ++at) {
+        for (; at < asked.size() && txn.conditions.size() + 2 <= record_format_.conditions(); ++at) {
             txn.conditions.push_back({scheduler::outcome_key(asked[at]), 0});
             txn.conditions.push_back({scheduler::work_key(asked[at], 0), 0});
         }
-        const auto result = co_await store_.commit(std::move(txn), Urgency::leadership);
+        const auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
         if (stopped_ || (result.outcome != Outcome::ok && result.outcome != Outcome::conflict)) co_return false;
     }
     co_return true;
@@ -255,10 +258,10 @@
 awaitable<void> LeaderTerm::reread(const std::vector<std::string>& keys) {
     for (const auto& key : keys)
         for (;;) {
-            auto got = co_await store_.get(key, Urgency::leadership);
+            auto got = co_await store_.get(key, RequestPriority::leadership);
             if (stopped_) co_return;
             if (got.outcome == Outcome::ok) {
-                if (got.item.stamp) links_.seen(got.item);
+                if (got.item.mod_revision) callbacks_.seen(got.item);
                 scheduler_.reread(got.item, Clock::now());
                 break;
             }
@@ -272,7 +275,7 @@
     }
     while (!stopped_) {
         const auto began = Clock::now();
-        auto seen = co_await store_.follow(scheduler::jobs_prefix, followed_, follow_hold);
+        auto seen = co_await store_.watch(scheduler::jobs_prefix, followed_, follow_hold);
         if (stopped_) break;
         if (seen.outcome == Outcome::too_old) {
             co_await load();
@@ -285,14 +288,14 @@
         fresh_ = began;
         followed_ = std::max(followed_, seen.revision);
         const auto now = Clock::now();
-        const auto wall = links_.time_of_day_ms();
+        const auto wall = callbacks_.time_of_day_ms();
         bool news = false;
         for (std::size_t i = 0; i < seen.events.size(); ++i)
-            if (!seen.deleted[i]) links_.seen(seen.events[i]);
+            if (!seen.deleted[i]) callbacks_.seen(seen.events[i]);
         for (std::size_t i = 0; i < seen.events.size(); ++i) {
             // A record that was gone when this term read all, and was put back since, may name places where tasks are.
-            if (!seen.deleted[i] && scheduler_.older_than(seen.events[i], links_.over)) {
-                links_.again("a record came back that this term has not read");
+            if (!seen.deleted[i] && scheduler_.older_than(seen.events[i], callbacks_.over)) {
+                callbacks_.again("a record came back that this term has not read");
                 co_return;
             }
         }
@@ -311,10 +314,10 @@
         co_await commit_.wait(1s);
         while (!stopped_ && loaded_) {
             // In small portions: a large one would use up the writes of a second and keep users waiting for as long.
-            auto batch = scheduler_.next_batch(store_.write_portion(), links_.time_of_day_ms());
+            auto batch = scheduler_.next_batch(store_.write_portion(), callbacks_.time_of_day_ms());
             if (batch.empty()) break;
             state::Txn txn = batch.txn;
-            const auto result = co_await store_.commit(std::move(txn), Urgency::bookkeeping);
+            const auto result = co_await store_.commit(std::move(txn), RequestPriority::bookkeeping);
             if (stopped_) co_return;
             if (result.outcome == Outcome::ok) {
                 last_outcome = Outcome::ok;
@@ -327,7 +330,7 @@
             if (result.outcome == Outcome::conflict &&
                 std::find(result.failed.begin(), result.failed.end(), election::term_key) != result.failed.end()) {
                 spdlog::info("event=term_overtaken term={}", term_);
-                links_.doubt();
+                callbacks_.doubt();
                 scheduler_.retry(batch);
                 co_await net::sleep_for(200ms);
                 continue;
@@ -362,7 +365,7 @@
         auto txn = scheduler_.leftovers(store_.write_portion());
         if (txn.changes.empty()) continue;
         auto sent = txn;
-        const auto result = co_await store_.commit(std::move(sent), Urgency::leftover);
+        const auto result = co_await store_.commit(std::move(sent), RequestPriority::garbage_collection);
         // After a conflict they are somebody else's; a later leader finds what nobody has removed.
         if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict) scheduler_.keep_leftovers(txn);
     }
@@ -376,7 +379,7 @@
         if (stopped_ || !loaded_) continue;
         const auto keys = scheduler_.missing();
         for (const auto& key : keys) {
-            auto got = co_await store_.get(key, Urgency::bookkeeping);
+            auto got = co_await store_.get(key, RequestPriority::bookkeeping);
             if (stopped_) co_return;
             if (got.outcome != Outcome::ok) break;
             if (scheduler_.job_changed(got.item, Clock::now())) wake();
@@ -387,18 +390,18 @@
 
 // Reads what the leader before has noted of the machines, beside the hand-over, and then keeps notes for the next one.
 awaitable<void> LeaderTerm::hints_loop() {
-    const auto former = co_await read_all(scheduler::notes_prefix);
+    const auto former = co_await read_all(scheduler::hints_prefix);
     if (!former) co_return;
-    scheduler_.ledger().recall(hints_.read(former->items));
+    scheduler_.inventory().recall(hints_.read(former->items));
     while (!stopped_) {
         co_await net::sleep_for(hints_gap);
         if (stopped_ || !loaded_) continue;
-        const auto notes = scheduler_.ledger().notes();
+        const auto notes = scheduler_.inventory().notes();
         for (const auto& page : hints_.pages(notes)) {
             state::Txn txn;
-            txn.conditions.push_back({election::term_key, scheduler_.term_stamp()});
+            txn.conditions.push_back({election::term_key, scheduler_.term_revision()});
             txn.changes.push_back(page);
-            const auto result = co_await store_.commit(std::move(txn), Urgency::bookkeeping);
+            const auto result = co_await store_.commit(std::move(txn), RequestPriority::bookkeeping);
             if (stopped_) co_return;
             if (result.outcome != Outcome::ok) break;  // the next round tries again
             hints_.written(page);
@@ -411,10 +414,10 @@
     while (!stopped_ && scheduler_.unsettled()) co_await net::sleep_for(1s);
     while (!stopped_) {
         state::Txn txn;
-        txn.conditions.push_back({election::term_key, scheduler_.term_stamp()});
+        txn.conditions.push_back({election::term_key, scheduler_.term_revision()});
         txn.changes.push_back({recovery::unsettled_key, std::nullopt, 0});
-        const auto result = co_await store_.commit(std::move(txn), Urgency::bookkeeping);
-        if (result.outcome == Outcome::ok) links_.settled();
+        const auto result = co_await store_.commit(std::move(txn), RequestPriority::bookkeeping);
+        if (result.outcome == Outcome::ok) callbacks_.settled();
         if (result.outcome == Outcome::ok || result.outcome == Outcome::conflict) co_return;
         co_await net::sleep_for(300ms);
     }
@@ -424,9 +427,9 @@
 // remembers: once it returned all that its successor was using. Asked before every call that changes the fleet.
 awaitable<LeaderTerm::Leads> LeaderTerm::still_leading() {
     state::Txn txn;
-    txn.conditions.push_back({election::term_key, scheduler_.term_stamp()});
-    const auto result = co_await store_.commit(std::move(txn), Urgency::leadership);
-    if (result.outcome == Outcome::conflict) links_.doubt();
+    txn.conditions.push_back({election::term_key, scheduler_.term_revision()});
+    const auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
+    if (result.outcome == Outcome::conflict) callbacks_.doubt();
     if (result.outcome == Outcome::conflict || stopped_) co_return Leads::no;
     co_return result.outcome == Outcome::ok ? Leads::yes : Leads::unknown;
 }
@@ -458,7 +461,7 @@
 }
 
 awaitable<void> LeaderTerm::list_loop() {
-    const auto gap = wire::to_clock(std::max(settings_.list_lag, Seconds(5)));
+    const auto gap = model::to_clock(std::max(settings_.list_lag, Seconds(5)));
     while (!stopped_) {
         auto list = co_await cloud_.machines();
         if (stopped_) break;
@@ -486,7 +489,7 @@
     // In an outage nobody else can win a term, and cancelled work on a machine that hangs must be gone in time all the
     // same. If somebody could after all, a machine is returned that he uses: work is lost, and no rule broken.
     if (leading == Leads::unknown) {
-        if (links_.others_reach_state()) co_return;
+        if (callbacks_.others_reach_state()) co_return;
         std::erase_if(leaving, [](const scheduler::Release& r) { return r.why != scheduler::cancelled_work; });
     }
     scheduler_.releasing(leaving);
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "app/controller.hpp"
 #include "net/http_server.hpp"
-#include "peer/link.hpp"
+#include "peer/peer_connections.hpp"
 #include "state/http_store.hpp"
 
 namespace flintdale::app {
@@ -17,11 +17,11 @@
     net::Executor ex_;
     config::Settings settings_;
     config::Tunables tunables_;
-    state::Form form_;
+    state::RecordFormat record_format_;
     state::HttpStore store_;
     cloud::HttpCloud cloud_;
     worker::HttpWorkers workers_;
-    peer::Links peers_;
+    peer::PeerConnections peers_;
     Controller controller_;
     net::HttpServer server_;
 };
--- a/src/app/worker_assignment.cpp
+++ b/src/app/worker_assignment.cpp
@@ -6,8 +6,8 @@
 namespace flintdale::app {
 
 using namespace std::chrono_literals;
-using wire::Seconds;
-using wire::TimePoint;
+using model::Seconds;
+using model::TimePoint;
 
 namespace {
 // Of the sockets; the rest are for users, and for workers that come at once when a controller ends.
@@ -68,7 +68,7 @@
 }
 
 void WorkerAssignment::rotate(TimePoint now) {
-    if (now - period_since_ < wire::to_clock(settings_.report * served_reports)) return;
+    if (now - period_since_ < model::to_clock(settings_.report * served_reports)) return;
     ++period_;
     period_since_ = now;
     last_period_ = std::exchange(this_period_, 0);
@@ -93,7 +93,7 @@
 // Slowly, for a worker that is sent away opens a new connection.
 bool WorkerAssignment::may_send_away(TimePoint now, std::uint32_t capacity) {
     const Seconds gap(1 / std::max(1.0, capacity * sent_away_share));
-    if (now - sent_away_ < wire::to_clock(gap)) return false;
+    if (now - sent_away_ < model::to_clock(gap)) return false;
     sent_away_ = now;
     return true;
 }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -2,16 +2,18 @@
 
 #include <spdlog/spdlog.h>
 
+#include "model/machine.hpp"
+
 namespace flintdale::cloud {
 
-using wire::Clock;
+using model::Clock;
 
 namespace {
 constexpr std::chrono::milliseconds too_late{1500};
 }  // namespace
 
 HttpCloud::HttpCloud(net::Executor ex, const config::Settings& s)
-    : http_(ex, s.cloud.host, s.cloud.port, 4), gap_(wire::to_clock(wire::Seconds(1.15 / s.cloud_rps))) {}
+    : http_(ex, s.cloud.host, s.cloud.port, 4), gap_(model::to_clock(model::Seconds(1.15 / s.cloud_rps))) {}
 
 awaitable<net::HttpAnswer> HttpCloud::call(net::http::verb verb, std::string target, std::string body) {
     // Evenly spaced, which keeps any window within the limit without counting on the burst.
@@ -24,19 +26,19 @@
     co_return co_await http_.request(verb, std::move(target), std::move(body), std::chrono::seconds(5));
 }
 
-awaitable<std::optional<std::vector<wire::MachineType>>> HttpCloud::catalog() {
+awaitable<std::optional<std::vector<model::MachineType>>> HttpCloud::catalog() {
     std::string target = "/catalog";
     auto answer = co_await call(net::http::verb::get, std::move(target), std::string());
     if (answer.status == 200) try {
             co_return wire::parse_catalog(answer.body);
-        } catch (const wire::BadBody& e) {
+        } catch (const wire::DecodeError& e) {
             spdlog::error("event=catalog_unreadable why=\"{}\"", e.what());
         }
     co_return std::nullopt;
 }
 
-awaitable<std::optional<std::vector<wire::ListedMachine>>> HttpCloud::machines() {
-    std::vector<wire::ListedMachine> all;
+awaitable<std::optional<std::vector<model::ListedMachine>>> HttpCloud::machines() {
+    std::vector<model::ListedMachine> all;
     for (;;) {
         std::string target = "/machines?page=500";
         if (!all.empty()) target += "&from=" + all.back().name;
@@ -47,7 +49,7 @@
             auto page = wire::parse_machines(answer.body);
             more = page.more && !page.machines.empty();
             for (auto& m : page.machines) all.push_back(std::move(m));
-        } catch (const wire::BadBody& e) {
+        } catch (const wire::DecodeError& e) {
             spdlog::error("event=machine_list_unreadable why=\"{}\"", e.what());
             co_return std::nullopt;
         }
@@ -57,14 +59,14 @@
 
 awaitable<RentResult> HttpCloud::rent(std::string request, std::string type, std::string zone, bool spot, int count) {
     std::string target = "/machines";
-    auto body = wire::rent_body(request, type, zone, spot, count);
+    auto body = wire::launch_body(request, type, zone, spot, count);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body));
     RentResult r;
     if (answer.status == 200) {
         try {
-            r.machines = wire::parse_rented(answer.body);
+            r.machines = wire::parse_launched(answer.body);
             r.outcome = Rent::granted;
-        } catch (const wire::BadBody&) {
+        } catch (const wire::DecodeError&) {
         }
     } else if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos) {
         r.outcome = Rent::no_capacity;
@@ -76,7 +78,7 @@
 
 awaitable<bool> HttpCloud::release(std::vector<std::string> names) {
     std::string target = "/machines/release";
-    auto body = wire::release_body(names);
+    auto body = wire::terminate_body(names);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body));
     co_return answer.status == 200;
 }
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,6 +1,8 @@
 // The cloud's published interface, within its request limit.
 #pragma once
 #include "config/settings.hpp"
+#include "model/clock.hpp"
+#include "model/machine.hpp"
 #include "net/http_client.hpp"
 #include "wire/json.hpp"
 
@@ -18,8 +20,8 @@
 class Cloud {
   public:
     virtual ~Cloud() = default;
-    virtual awaitable<std::optional<std::vector<wire::MachineType>>> catalog() = 0;
-    virtual awaitable<std::optional<std::vector<wire::ListedMachine>>> machines() = 0;
+    virtual awaitable<std::optional<std::vector<model::MachineType>>> catalog() = 0;
+    virtual awaitable<std::optional<std::vector<model::ListedMachine>>> machines() = 0;
     virtual awaitable<RentResult> rent(std::string request, std::string type, std::string zone, bool spot,
                                        int count) = 0;
     virtual awaitable<bool> release(std::vector<std::string> names) = 0;
@@ -28,8 +30,8 @@
 class HttpCloud : public Cloud {
   public:
     HttpCloud(net::Executor ex, const config::Settings& settings);
-    awaitable<std::optional<std::vector<wire::MachineType>>> catalog() override;
-    awaitable<std::optional<std::vector<wire::ListedMachine>>> machines() override;
+    awaitable<std::optional<std::vector<model::MachineType>>> catalog() override;
+    awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override;
     awaitable<RentResult> rent(std::string request, std::string type, std::string zone, bool spot, int count) override;
     awaitable<bool> release(std::vector<std::string> names) override;
 
@@ -37,8 +39,8 @@
     awaitable<net::HttpAnswer> call(net::http::verb verb, std::string target, std::string body);
 
     net::HttpClient http_;
-    wire::Clock::duration gap_;
-    wire::Clock::time_point next_{};
+    model::Clock::duration gap_;
+    model::Clock::time_point next_{};
 };
 
 }  // namespace flintdale::cloud
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -15,7 +15,7 @@
 
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw BadSetting(path + ": cannot be read");
+    if (!in) throw ConfigError(path + ": cannot be read");
     std::ostringstream out;
     out << in.rdbuf();
     return out.str();
@@ -88,7 +88,7 @@
     }
 
     [[noreturn]] void fail(const char* key, const std::string& expected) const {
-        throw BadSetting(where(key) + ": missing or not " + expected);
+        throw ConfigError(where(key) + ": missing or not " + expected);
     }
 
   private:
@@ -109,7 +109,7 @@
         if (ec == std::errc() && p == end && port > 0 && port < 65536)
             return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
     }
-    throw BadSetting(field + ": expected ADDRESS:PORT, found \"" + text + "\"");
+    throw ConfigError(field + ": expected ADDRESS:PORT, found \"" + text + "\"");
 }
 
 namespace {
@@ -141,7 +141,7 @@
     } catch (const toml::parse_error& e) {
         std::ostringstream where;
         where << name << ": line " << e.source().begin.line << ": " << e.description();
-        throw BadSetting(where.str());
+        throw ConfigError(where.str());
     }
     const Fields top(root, "");
     Settings s;
@@ -196,7 +196,7 @@
     try {
         pt::read_ini(in, tree);
     } catch (const pt::ini_parser_error& e) {
-        throw BadSetting(name + ": line " + std::to_string(e.line()) + ": " + e.message());
+        throw ConfigError(name + ": line " + std::to_string(e.line()) + ": " + e.message());
     }
     Tunables t;
     const auto number = [&](const std::string& key, const std::string& value, double least, double most) {
@@ -207,7 +207,7 @@
             std::ostringstream why;
             why << name << ": " << key << ": expected a number from " << least << " to " << most << ", found \""
                 << value << '"';
-            throw BadSetting(why.str());
+            throw ConfigError(why.str());
         }
         return v;
     };
@@ -237,12 +237,12 @@
         {"recovery.directory",
          [&](const std::string& k, const std::string& v) {
              if (!v.starts_with('/'))
-                 throw BadSetting(name + ": " + k + ": expected an absolute path, found \"" + v + '"');
+                 throw ConfigError(name + ": " + k + ": expected an absolute path, found \"" + v + '"');
              t.snapshots = v;
          }},
     };
     for (const auto& [section, entries] : tree) {
-        if (entries.empty()) throw BadSetting(name + ": " + section + ": expected inside a [section]");
+        if (entries.empty()) throw ConfigError(name + ": " + section + ": expected inside a [section]");
         for (const auto& [key, node] : entries) {
             const auto value = node.get_value<std::string>();
             const auto path = section + "." + key;
@@ -250,14 +250,14 @@
                 std::istringstream types(value);
                 std::string type;
                 while (types >> type) t.groups[key].push_back(type);
-                if (t.groups[key].empty()) throw BadSetting(name + ": " + path + ": expected names of machine types");
+                if (t.groups[key].empty()) throw ConfigError(name + ": " + path + ": expected names of machine types");
                 continue;
             }
             const auto it = known.find(path);
             if (it == known.end()) {
                 std::string all;
                 for (const auto& [k, f] : known) all += " " + k;
-                throw BadSetting(name + ": " + path + ": unknown key; expected one of" + all + " groups.CLASS");
+                throw ConfigError(name + ": " + path + ": unknown key; expected one of" + all + " groups.CLASS");
             }
             it->second(path, value);
         }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
 namespace flintdale::config {
 
-using wire::Seconds;
+using model::Seconds;
 
-struct BadSetting : std::runtime_error {
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 using state::Outcome;
-using state::Urgency;
+using state::RequestPriority;
 namespace json = boost::json;
 
 namespace {
@@ -14,27 +14,27 @@
 constexpr auto abstention = 30s;      // after it has resigned
 constexpr auto nobody_else = 3000ms;  // that a vacancy lasts before one that abstains stands after all
 
-std::uint64_t term_number(const state::Item& item) {
-    if (!item.stamp || !item.value.is_object()) return 0;
+std::uint64_t term_number(const state::KeyValue& item) {
+    if (!item.mod_revision || !item.value.is_object()) return 0;
     const auto* n = item.value.get_object().if_contains("n");
     return n && n->is_number() ? n->to_number<std::uint64_t>() : 0;
 }
 
-std::string text_in(const state::Item& item, std::string_view field) {
-    if (!item.stamp || !item.value.is_object()) return {};
+std::string text_in(const state::KeyValue& item, std::string_view field) {
+    if (!item.mod_revision || !item.value.is_object()) return {};
     const auto* v = item.value.get_object().if_contains(field);
     return v && v->is_string() ? std::string(v->get_string()) : std::string();
 }
 
-std::uint64_t lease_in(const state::Item& item) {
-    if (!item.stamp || !item.value.is_object()) return 0;
+std::uint64_t lease_in(const state::KeyValue& item) {
+    if (!item.mod_revision || !item.value.is_object()) return 0;
     const auto* v = item.value.get_object().if_contains("lease");
     return v && v->is_number() ? v->to_number<std::uint64_t>() : 0;
 }
 
 }  // namespace
 
-Elector::Elector(net::Executor ex, state::Store& store, std::string member, wire::Seconds lease, Events events,
+Elector::Elector(net::Executor ex, state::Store& store, std::string member, model::Seconds lease, Events events,
                  std::function<std::int64_t()> time_of_day_ms)
     : ex_(ex),
       store_(store),
@@ -57,12 +57,12 @@
     if (!leading_) return;
     resigned_ = true;
     vacant_since_.reset();
-    abstains_until_ = wire::Clock::now() + abstention;
+    abstains_until_ = model::Clock::now() + abstention;
     depose(why);
 }
 
 bool Elector::abstains(bool own) {
-    const auto now = wire::Clock::now();
+    const auto now = model::Clock::now();
     if (now >= abstains_until_) return false;
     if (own) return true;  // the claim that was given up has not ended yet
     if (!vacant_since_) vacant_since_ = now;
@@ -82,14 +82,14 @@
 awaitable<void> Elector::run() {
     for (;;) {
         doubted_ = false;
-        auto holder = co_await store_.get(holder_key, Urgency::leadership);
-        auto term = co_await store_.get(term_key, Urgency::leadership);
+        auto holder = co_await store_.get(holder_key, RequestPriority::leadership);
+        auto term = co_await store_.get(term_key, RequestPriority::leadership);
         if (holder.outcome != Outcome::ok || term.outcome != Outcome::ok) {
             co_await net::sleep_for(300ms);
             continue;
         }
         heard(term_number(term.item), text_in(holder.item, "member"));
-        const bool vacant = holder.item.stamp == 0;
+        const bool vacant = holder.item.mod_revision == 0;
         // A claim under our own name, while we do not lead, is that of our previous life or of a lost answer.
         const bool own = !vacant && text_in(holder.item, "member") == member_;
         if (vacant || own) {
@@ -103,14 +103,14 @@
         vacant_since_.reset();
         // Whoever waits for the vacancy claims it at once, by what the watch has told of the term: a hand-over in an
         // upgrade should go to a controller that has its turn behind it, and older versions read both keys anew first.
-        const auto last = co_await watch();
-        state::Item nobody;
+        const auto last = co_await wait_for_vacancy();
+        state::KeyValue nobody;
         nobody.key = holder_key;
         if (last && !abstains(false) && co_await campaign(nobody, *last)) co_await lead();
     }
 }
 
-awaitable<bool> Elector::campaign(const state::Item& holder, const state::Item& term) {
+awaitable<bool> Elector::campaign(const state::KeyValue& holder, const state::KeyValue& term) {
     auto granted = co_await store_.grant(life_);
     if (granted.outcome != Outcome::ok) {
         co_await net::sleep_for(200ms);
@@ -121,19 +121,19 @@
     if (time_of_day_ms_) own_term_ = std::max(own_term_, static_cast<std::uint64_t>(time_of_day_ms_()));
     const bool gap = seen_term_ > term_number(term);
     state::Txn txn;
-    txn.conditions.push_back({holder_key, holder.stamp});
-    txn.conditions.push_back({term_key, term.stamp});
+    txn.conditions.push_back({holder_key, holder.mod_revision});
+    txn.conditions.push_back({term_key, term.mod_revision});
     txn.changes.push_back({holder_key, json::object{{"member", member_}, {"lease", lease_}}, lease_});
     txn.changes.push_back({term_key, json::object{{"n", own_term_}, {"member", member_}, {"lease", lease_}}, 0});
-    auto result = co_await store_.commit(std::move(txn), Urgency::leadership);
-    std::uint64_t stamp = result.outcome == Outcome::ok ? result.revision : 0;
+    auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
+    std::uint64_t mod_revision = result.outcome == Outcome::ok ? result.revision : 0;
     if (result.outcome == Outcome::unknown) {
         // It may have gone through: the lease number in the term's record tells whether it was this claim.
-        auto again = co_await store_.get(term_key, Urgency::leadership);
+        auto again = co_await store_.get(term_key, RequestPriority::leadership);
         if (again.outcome == Outcome::ok && lease_in(again.item) == lease_ && term_number(again.item) == own_term_)
-            stamp = again.item.stamp;
+            mod_revision = again.item.mod_revision;
     }
-    if (!stamp) {
+    if (!mod_revision) {
         spdlog::info("event=campaign_lost term={} outcome={}", own_term_, static_cast<int>(result.outcome));
         co_await store_.revoke(lease_);
         co_return false;
@@ -142,10 +142,10 @@
     if (seen_term_ > own_term_) co_return false;
     leading_ = true;
     leader_ = member_;
-    spdlog::info("event=elected term={} stamp={}", own_term_, stamp);
+    spdlog::info("event=elected term={} stamp={}", own_term_, mod_revision);
     Term won;
     won.number = own_term_;
-    won.stamp = stamp;
+    won.mod_revision = mod_revision;
     won.previous = term_number(term);
     won.gap = gap;
     events_.elected(won);
@@ -160,7 +160,7 @@
         if (!leading_) break;
         if (doubted_) {
             doubted_ = false;
-            auto term = co_await store_.get(term_key, Urgency::leadership);
+            auto term = co_await store_.get(term_key, RequestPriority::leadership);
             if (term.outcome == Outcome::ok) heard(term_number(term.item), std::string());
             if (!leading_) break;
         }
@@ -173,15 +173,15 @@
     if (std::exchange(resigned_, false)) co_await store_.revoke(lease_);
 }
 
-awaitable<std::optional<state::Item>> Elector::watch() {
+awaitable<std::optional<state::KeyValue>> Elector::wait_for_vacancy() {
     // Both keys share a prefix, so one watch tells of a vacancy and of a new term alike.
-    auto now = co_await store_.range("lead/", std::string(), Urgency::leadership);
+    auto now = co_await store_.range("lead/", std::string(), RequestPriority::leadership);
     if (now.outcome != Outcome::ok) {
         co_await net::sleep_for(300ms);
         co_return std::nullopt;
     }
     bool held = false;
-    state::Item term;
+    state::KeyValue term;
     for (const auto& item : now.items) {
         held = held || item.key == holder_key;
         if (item.key == term_key) term = item;
@@ -189,7 +189,7 @@
     if (!held) co_return std::nullopt;
     std::uint64_t from = now.revision;
     for (;;) {
-        auto seen = co_await store_.follow("lead/", from, 10s);
+        auto seen = co_await store_.watch("lead/", from, 10s);
         if (seen.outcome != Outcome::ok) {
             co_await net::sleep_for(400ms);
             co_return std::nullopt;
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -3,8 +3,8 @@
 #include <functional>
 #include <optional>
 
+#include "model/clock.hpp"
 #include "state/store.hpp"
-#include "wire/types.hpp"
 
 namespace flintdale::election {
 
@@ -14,9 +14,9 @@
 inline constexpr const char* term_key = "lead/term";
 
 struct Term {
-    std::uint64_t number = 0, stamp = 0;  // stamp of term_key: what every write of the leader is conditioned on
-    std::uint64_t previous = 0;           // the term that was on record before
-    bool gap = false;                     // a term was seen that is not on record: it was lost
+    std::uint64_t number = 0, mod_revision = 0;  // stamp of term_key: what every write of the leader is conditioned on
+    std::uint64_t previous = 0;                  // the term that was on record before
+    bool gap = false;                            // a term was seen that is not on record: it was lost
 };
 
 class Elector {
@@ -28,12 +28,13 @@
 
     // `time_of_day_ms`, if given, keeps terms above every one that came before it, even if all records of terms are
     // lost and nobody remembers them: each number is at least the time of day when it was claimed.
-    Elector(net::Executor ex, state::Store& store, std::string member, wire::Seconds lease, Events events,
+    Elector(net::Executor ex, state::Store& store, std::string member, model::Seconds lease, Events events,
             std::function<std::int64_t()> time_of_day_ms = {});
 
     awaitable<void> run();
 
-    // Word of a term from anywhere (a peer, a worker, a failed transaction). A higher one ends our own at once.
+    // CancellationReport of a term from anywhere (a peer, a worker, a failed transaction). A higher one ends our own at
+    // once.
     void heard(std::uint64_t term, const std::string& leader);
     // A condition on the term's stamp failed: find out what happened.
     void doubt() { doubted_ = true, wake_.notify(); }
@@ -50,9 +51,9 @@
 
   private:
     awaitable<void> lead();
-    awaitable<bool> campaign(const state::Item& holder, const state::Item& term);
+    awaitable<bool> campaign(const state::KeyValue& holder, const state::KeyValue& term);
     // Returns the term's record when the claim of another has ended; nothing if that is not certain.
-    awaitable<std::optional<state::Item>> watch();
+    awaitable<std::optional<state::KeyValue>> wait_for_vacancy();
     void depose(const char* why);
     // Whether this controller leaves a vacancy, or its own former claim, to the others for now.
     bool abstains(bool own);
@@ -65,8 +66,8 @@
     std::function<std::int64_t()> time_of_day_ms_;
     net::Wakeup wake_;
     bool leading_ = false, doubted_ = false, resigned_ = false;
-    wire::TimePoint abstains_until_{};
-    std::optional<wire::TimePoint> vacant_since_;  // while it abstains
+    model::TimePoint abstains_until_{};
+    std::optional<model::TimePoint> vacant_since_;  // while it abstains
     std::uint64_t seen_term_ = 0, lease_ = 0, own_term_ = 0;
     std::string leader_;
 };
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -9,22 +9,22 @@
 
 using namespace std::chrono_literals;
 using state::Outcome;
-using state::Urgency;
+using state::RequestPriority;
 
 namespace {
 
-std::uint64_t format_in(const state::Item& item) {
-    if (!item.stamp || !item.value.is_object()) return 0;
+std::uint64_t format_in(const state::KeyValue& item) {
+    if (!item.mod_revision || !item.value.is_object()) return 0;
     const auto* n = item.value.get_object().if_contains("format");
     return n && n->is_number() ? n->to_number<std::uint64_t>() : 0;
 }
 
 }  // namespace
 
-Members::Members(state::Store& store, const config::Settings& settings, state::Form& form,
+Members::Members(state::Store& store, const config::Settings& settings, state::RecordFormat& record_format,
                  std::function<void(const quota::Table&)> teams)
     : store_(store),
-      form_(form),
+      record_format_(record_format),
       teams_changed_(std::move(teams)),
       own_teams_(quota::table_of(settings.teams)),
       teams_(own_teams_),
@@ -44,8 +44,8 @@
 }
 
 // Nothing from a version that does not tell, or where it cannot be read.
-std::optional<quota::Table> teams_in(const state::Item& item) {
-    const auto* o = item.stamp ? item.value.if_object() : nullptr;
+std::optional<quota::Table> teams_in(const state::KeyValue& item) {
+    const auto* o = item.mod_revision ? item.value.if_object() : nullptr;
     const auto* teams = o ? o->if_contains("teams") : nullptr;
     if (!teams || !teams->is_object()) return std::nullopt;
     quota::Table out;
@@ -65,15 +65,15 @@
 // Puts this controller's key in place. After a lost answer it is read again.
 awaitable<bool> Members::enroll() {
     const std::string key = members_prefix + member_;
-    const auto got = co_await store_.get(key, Urgency::leadership);
+    const auto got = co_await store_.get(key, RequestPriority::leadership);
     if (got.outcome != Outcome::ok) co_return false;
     const auto known = teams_in(got.item);
     if (format_in(got.item) == state::newest_format && known && *known == own_teams_) co_return true;
     state::Txn txn;
-    txn.conditions.push_back({key, got.item.stamp});
+    txn.conditions.push_back({key, got.item.mod_revision});
     boost::json::object value{{"format", state::newest_format}, {"teams", teams_record(own_teams_)}};
     txn.changes.push_back({key, std::move(value), 0});
-    const auto result = co_await store_.commit(std::move(txn), Urgency::leadership);
+    const auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
     co_return result.outcome == Outcome::ok;
 }
 
@@ -86,7 +86,7 @@
 }
 
 awaitable<bool> Members::all_there() {
-    const auto page = co_await store_.range(members_prefix, std::string(), Urgency::leadership);
+    const auto page = co_await store_.range(members_prefix, std::string(), RequestPriority::leadership);
     if (page.outcome != Outcome::ok) co_return false;
     revision_ = page.revision;
     settle_teams(page.items);
@@ -99,13 +99,13 @@
     spdlog::info("event=members enrolled={} of={} format={}", page.items.size(), names_.size(), common);
     // Without all their names there is no telling that all are there.
     if (names_.size() < nodes_ || common < state::newest_format) co_return false;
-    form_.all_read(common);
+    record_format_.all_read(common);
     co_return true;
 }
 
 // A key stays when its controller is down, and with it the figures that this goes by: so the strictest holds until the
 // last controller has come back with the new ones, and none that is cut off or stands still can know others.
-void Members::settle_teams(const std::vector<state::Item>& items) {
+void Members::settle_teams(const std::vector<state::KeyValue>& items) {
     auto table = own_teams_;
     for (const auto& name : names_)
         for (const auto& item : items)
@@ -127,10 +127,11 @@
     for (;;) {
         revision_ = 0;
         const bool there = co_await all_there();
-        if (there && !std::exchange(in_use, true)) spdlog::info("event=format_in_use format={}", form_.format());
+        if (there && !std::exchange(in_use, true))
+            spdlog::info("event=format_in_use format={}", record_format_.format());
         // Later it is the figures of teams that may change.
         while (revision_) {
-            const auto seen = co_await store_.follow(members_prefix, revision_, 10s);
+            const auto seen = co_await store_.watch(members_prefix, revision_, 10s);
             if (seen.outcome != Outcome::ok || !seen.events.empty() || seen.revision < revision_) break;
             revision_ = seen.revision;
             if (!in_use) break;
--- a/src/election/members.hpp
+++ b/src/election/members.hpp
@@ -2,8 +2,8 @@
 // it reads; a key stays when its controller dies. So what is known of a form once all keys are there holds for good,
 // for a controller that is down or cut off as well, and nothing is ever concluded from silence.
 #pragma once
-#include "quota/ledger.hpp"
-#include "state/form.hpp"
+#include "quota/quota_accounting.hpp"
+#include "state/record_format.hpp"
 #include "state/store.hpp"
 
 namespace flintdale::election {
@@ -16,7 +16,7 @@
   public:
     // `teams` is told the figures that hold now: while controllers with other tables are on record, the strictest of
     // all.
-    Members(state::Store& store, const config::Settings& settings, state::Form& form,
+    Members(state::Store& store, const config::Settings& settings, state::RecordFormat& record_format,
             std::function<void(const quota::Table&)> teams = {});
 
     awaitable<void> run();
@@ -29,10 +29,10 @@
     awaitable<bool> enroll();
     // Counts the keys; true once all controllers are there.
     awaitable<bool> all_there();
-    void settle_teams(const std::vector<state::Item>& items);
+    void settle_teams(const std::vector<state::KeyValue>& items);
 
     state::Store& store_;
-    state::Form& form_;
+    state::RecordFormat& record_format_;
     std::function<void(const quota::Table&)> teams_changed_;
     quota::Table own_teams_, teams_;
     std::string member_;
--- a/src/fleet/ledger.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -1,4 +1,4 @@
-#include "fleet/ledger.hpp"
+#include "fleet/machine_inventory.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,10 +17,10 @@
     update_row();
 }
 
-wire::Seconds Machine::again(wire::Seconds boot) const {
+model::Seconds Machine::again(model::Seconds boot) const {
     double held_gb = 0;
     for (const auto& image : images) held_gb += image.gb;
-    return std::max(boot, wire::Seconds(row.fetch_gb_per_s > 0 ? held_gb / row.fetch_gb_per_s : 0));
+    return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? held_gb / row.fetch_gb_per_s : 0));
 }
 
 double Machine::in_use() const {
@@ -33,15 +33,15 @@
     row.images.clear();
     for (const auto& e : images) row.images.push_back(e.id);
     row.fetching.clear();
-    row.fetching_for = wire::Rank::idle;
+    row.fetching_for = model::Priority::idle;
     for (const auto& [task, fetch] : fetching) {
         if (row.has(fetch.image.id)) continue;
         if (!row.fetches(fetch.image.id)) row.fetching.push_back({fetch.image.id, fetch.image.gb});
-        row.fetching_for = std::max(row.fetching_for, fetch.rank);
+        row.fetching_for = std::max(row.fetching_for, fetch.priority);
     }
 }
 
-void Ledger::set_types(std::vector<wire::MachineType> types) {
+void MachineInventory::set_types(std::vector<model::MachineType> types) {
     types_ = std::move(types);
     for (const auto& t : types_)
         for (const auto& zone : t.zones)
@@ -50,19 +50,19 @@
         if (m->row.capacity.cpus == 0) describe(*m, m->type, m->zone, m->spot);
 }
 
-const wire::MachineType* Ledger::type(const std::string& name) const {
+const model::MachineType* MachineInventory::type(const std::string& name) const {
     for (const auto& t : types_)
         if (t.name == name) return &t;
     return nullptr;
 }
 
-Machine* Ledger::find(const std::string& name) const {
+Machine* MachineInventory::find(const std::string& name) const {
     const auto it = machines_.find(name);
     return it == machines_.end() ? nullptr : it->second.get();
 }
 
-Machine& Ledger::add(const std::string& name, const std::string& type, const std::string& zone, bool spot,
-                     TimePoint now) {
+Machine& MachineInventory::add(const std::string& name, const std::string& type, const std::string& zone, bool spot,
+                               TimePoint now) {
     auto& slot = machines_[name];
     if (!slot) {
         slot = std::make_unique<Machine>();
@@ -81,7 +81,7 @@
     return *slot;
 }
 
-void Ledger::describe(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
+void MachineInventory::describe(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
     m.type = type_name;
     m.zone = zone;
     m.spot = spot;
@@ -96,35 +96,35 @@
     }
 }
 
-void Ledger::remove(const std::string& name) {
+void MachineInventory::remove(const std::string& name) {
     if (const auto* m = find(name)) by_slot_[m->row.slot] = nullptr;
     machines_.erase(name);
     gone_.insert(name);
 }
 
-void Ledger::assign(Machine& m, const TaskKey& task, const wire::JobSpec& spec, wire::Rank rank) {
+void MachineInventory::assign(Machine& m, const TaskKey& task, const model::JobSpec& spec, model::Priority priority) {
     if (!m.tasks.insert(task).second) return;
     placement::take(m.row.free, spec.need);
     ++m.row.load;
-    if (spec.shape == wire::Shape::service) placement::give(m.row.standing, spec.need);
-    m.fetching[task] = {{directory_.image(spec.image), spec.image_gb}, rank};
+    if (spec.kind == model::JobKind::service) placement::give(m.row.standing, spec.need);
+    m.fetching[task] = {{directory_.image(spec.image), spec.image_gb}, priority};
     m.update_row();
 }
 
-void Ledger::has_image(Machine& m, const TaskKey& task, const wire::JobSpec& spec) {
+void MachineInventory::has_image(Machine& m, const TaskKey& task, const model::JobSpec& spec) {
     if (m.fetching.erase(task)) used_image(m, spec);
 }
 
-void Ledger::used_image(Machine& m, const wire::JobSpec& spec) {
+void MachineInventory::used_image(Machine& m, const model::JobSpec& spec) {
     m.used_image({directory_.image(spec.image), spec.image_gb}, cache_gb(m));
 }
 
-double Ledger::cache_gb(const Machine& m) const {
+double MachineInventory::cache_gb(const Machine& m) const {
     const auto* t = type(m.type);
     return t ? t->cache_gb : 0;
 }
 
-void Ledger::unassign(Machine& m, const TaskKey& task, const wire::JobSpec& spec, TimePoint now) {
+void MachineInventory::unassign(Machine& m, const TaskKey& task, const model::JobSpec& spec, TimePoint now) {
     if (!m.tasks.erase(task)) return;
     if (m.fetching.erase(task))
         m.update_row();
@@ -132,22 +132,22 @@
         used_image(m, spec);
     placement::give(m.row.free, spec.need);
     --m.row.load;
-    if (spec.shape == wire::Shape::service) placement::take(m.row.standing, spec.need);
+    if (spec.kind == model::JobKind::service) placement::take(m.row.standing, spec.need);
     if (m.tasks.empty()) m.idle_since = now;
 }
 
-std::vector<wire::MachineNote> Ledger::notes() const {
-    std::vector<wire::MachineNote> out;
+std::vector<wire::MachineHint> MachineInventory::notes() const {
+    std::vector<wire::MachineHint> out;
     for (const auto& [name, m] : machines_) {
-        if (m->releasing || (m->images.empty() && !m->suspect)) continue;
-        wire::MachineNote note{name, {}, m->suspect};
+        if (m->releasing || (m->images.empty() && !m->quarantined)) continue;
+        wire::MachineHint note{name, {}, m->quarantined};
         for (const auto& image : m->images) note.images.push_back({directory_.image_name(image.id), image.gb});
         out.push_back(std::move(note));
     }
     return out;
 }
 
-void Ledger::recall(std::vector<wire::MachineNote> notes) {
+void MachineInventory::recall(std::vector<wire::MachineHint> notes) {
     for (auto& note : notes) {
         if (gone(note.name)) continue;
         // How much a machine's cache holds is known with its type.
@@ -159,20 +159,20 @@
 }
 
 // What this leader has seen itself is newer than what was noted.
-void Ledger::apply(const wire::MachineNote& note, Machine& m) {
+void MachineInventory::apply(const wire::MachineHint& note, Machine& m) {
     const auto seen = std::exchange(m.images, {});
     for (const auto& image : note.images) m.used_image({directory_.image(image.name), image.gb}, cache_gb(m));
     for (const auto& image : seen) m.used_image(image, cache_gb(m));
-    m.suspect = m.suspect || note.suspect;
+    m.quarantined = m.quarantined || note.quarantined;
 }
 
-void Ledger::refused(const Pool& pool, TimePoint now) {
+void MachineInventory::refused(const Pool& pool, TimePoint now) {
     auto& b = back_off_[pool];
     b.times = std::min(b.times + 1, 4);
     b.until = now + std::chrono::seconds(4 << b.times);
 }
 
-bool Ledger::open(const Pool& pool, TimePoint now) const {
+bool MachineInventory::open(const Pool& pool, TimePoint now) const {
     const auto it = back_off_.find(pool);
     return it == back_off_.end() || now >= it->second.until;
 }
--- a/src/scale/cloud_server.cpp
+++ b/src/load_test/cloud_server.cpp
@@ -1,8 +1,9 @@
-#include "scale/cloud_server.hpp"
+#include "load_test/cloud_server.hpp"
 
+#include "model/machine.hpp"
 #include "wire/json.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using net::http::verb;
 namespace json = boost::json;
@@ -20,16 +21,16 @@
     return out;
 }
 
-const char* status_of(wire::MachineStatus status) {
-    return status == wire::MachineStatus::failed    ? "failed"
-           : status == wire::MachineStatus::running ? "running"
-                                                    : "starting";
+const char* status_of(model::MachineStatus status) {
+    return status == model::MachineStatus::failed    ? "failed"
+           : status == model::MachineStatus::running ? "running"
+                                                     : "starting";
 }
 
 }  // namespace
 
-CloudServer::CloudServer(net::Executor ex, emulator::Events& events, emulator::Rentals& rentals,
-                         const emulator::Scenario& scenario, const config::Settings& settings, Links links)
+CloudServer::CloudServer(net::Executor ex, simulator::Events& events, simulator::Rentals& rentals,
+                         const simulator::Scenario& scenario, const config::Settings& settings, Links links)
     : events_(events),
       rentals_(rentals),
       scenario_(scenario),
@@ -39,7 +40,7 @@
               [this](net::Request request) { return handle(std::move(request)); }) {}
 
 awaitable<net::Reply> CloudServer::handle(net::Request request) {
-    events_.advance_to(wire::Clock::now());
+    events_.advance_to(model::Clock::now());
     net::Reply out;
     try {
         out = calls_.take(1, events_.now()) ? answer(request) : reply(429, {});
@@ -99,4 +100,4 @@
     return reply(200, {});
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/deployment.cpp
+++ b/src/load_test/deployment.cpp
@@ -1,8 +1,8 @@
-#include "scale/deployment.hpp"
+#include "load_test/deployment.hpp"
 
 #include <fstream>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 Deployment::Deployment(net::Executor ex, const Plan& plan, std::string daemon, std::filesystem::path directory)
     : plan_(plan), daemon_(std::move(daemon)), directory_(std::move(directory)), controllers_(plan.controllers) {
@@ -59,4 +59,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/deployment.hpp
+++ b/src/load_test/deployment.hpp
@@ -3,11 +3,11 @@
 #pragma once
 #include <filesystem>
 
-#include "scale/link_proxy.hpp"
-#include "scale/plan.hpp"
-#include "scale/process.hpp"
+#include "load_test/link_proxy.hpp"
+#include "load_test/plan.hpp"
+#include "load_test/process.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class Deployment {
   public:
@@ -33,4 +33,4 @@
     std::vector<Controller> controllers_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/fit.cpp
+++ b/src/load_test/fit.cpp
@@ -1,4 +1,4 @@
-#include "scale/fit.hpp"
+#include "load_test/fit.hpp"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <map>
 #include <optional>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 namespace json = boost::json;
 
@@ -171,4 +171,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/fit.hpp
+++ b/src/load_test/fit.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 struct Point {
     double workers = 0, value = 0;
@@ -27,4 +27,4 @@
 // A table in Markdown of the runs that passed, by the number of controllers and the operators' settings.
 std::string fit_table(const std::vector<boost::json::object>& results);
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/hollow.cpp
+++ b/src/load_test/hollow_workers.cpp
@@ -1,11 +1,11 @@
-#include "scale/hollow.hpp"
+#include "load_test/hollow_workers.hpp"
 
 #include <iostream>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 namespace asio = net::asio;
 
 namespace {
@@ -22,12 +22,13 @@
       plan_(plan),
       settings_(config::parse_settings(plan.settings_text(0), "settings")),
       events_(plan.seed * 1000 + process, Clock::now()),
-      fleet_(events_, *this, settings_, plan.scenario,
-             [this](std::size_t controller, const emulator::Origin& from, net::Request request, Seconds patience,
-                    emulator::Answered done) { ask(controller, from, std::move(request), patience, std::move(done)); }),
+      fleet_(
+          events_, *this, settings_, plan.scenario,
+          [this](std::size_t controller, const simulator::Origin& from, net::Request request, Seconds patience,
+                 simulator::Answered done) { ask(controller, from, std::move(request), patience, std::move(done)); }),
       coordinator_(ex_, read_from, write_to) {
     fleet_.came_up = [this](const std::string& machine) { progress_.came_up.push_back(machine); };
-    fleet_.answer_accepted = [this](std::uint64_t token, bool runs) { answer_accepted(token, runs); };
+    fleet_.answer_accepted = [this](std::uint64_t fencing_token, bool runs) { answer_accepted(fencing_token, runs); };
 }
 
 void HollowWorkers::start() {
@@ -61,7 +62,7 @@
         try {
             obey(parse_to_workers(*line));
         } catch (const std::exception& e) {
-            std::cerr << "flintdale_scale: " << e.what() << '\n';
+            std::cerr << "flintdale_load_test: " << e.what() << '\n';
             break;
         }
     }
@@ -83,7 +84,7 @@
 
 void HollowWorkers::add(const AddMachine& machine) {
     const auto address = config::parse_address(machine.address, "address");
-    emulator::Rented rented;
+    simulator::Rented rented;
     rented.name = machine.name;
     rented.address = machine.address;
     for (const auto& type : plan_.scenario.types)
@@ -109,8 +110,8 @@
     links_.erase(it);
 }
 
-void HollowWorkers::ask(std::size_t controller, const emulator::Origin& from, net::Request request, Seconds patience,
-                        emulator::Answered done) {
+void HollowWorkers::ask(std::size_t controller, const simulator::Origin& from, net::Request request, Seconds patience,
+                        simulator::Answered done) {
     const auto it = links_.find(from.machine);
     if (it == links_.end()) return;
     auto& link = it->second;
@@ -123,12 +124,12 @@
 }
 
 awaitable<void> HollowWorkers::deliver(std::shared_ptr<net::HttpClient> client, net::Request request, Seconds patience,
-                                       emulator::Answered done) {
+                                       simulator::Answered done) {
     const auto began = Clock::now();
     ++counts_.reports;
     const auto verb = request.verb;
     auto answer =
-        co_await client->request(verb, std::move(request.target), std::move(request.body), wire::to_clock(patience));
+        co_await client->request(verb, std::move(request.target), std::move(request.body), model::to_clock(patience));
     const auto now = Clock::now();
     events_.advance_to(now);
     counts_.bytes_sent += answer.bytes_sent;
@@ -167,30 +168,30 @@
     co_return answer ? std::move(*answer) : std::move(reply);
 }
 
-void HollowWorkers::answer_accepted(std::uint64_t token, bool runs) {
-    if (token > token_) {
-        token_ = token;
-        progress_.tokens.push_back({token, events_.now(), false});
+void HollowWorkers::answer_accepted(std::uint64_t fencing_token, bool runs) {
+    if (fencing_token > token_) {
+        token_ = fencing_token;
+        progress_.tokens.push_back({fencing_token, events_.now(), false});
     }
-    if (runs && token > token_that_ran_) {
-        token_that_ran_ = token;
-        progress_.tokens.push_back({token, events_.now(), true});
+    if (runs && fencing_token > token_that_ran_) {
+        token_that_ran_ = fencing_token;
+        progress_.tokens.push_back({fencing_token, events_.now(), true});
     }
 }
 
-void HollowWorkers::arrives(const emulator::TaskName& task, const emulator::Place& place) {
+void HollowWorkers::arrives(const simulator::TaskName& task, const simulator::Place& place) {
     progress_.events.push_back({TaskEvent::Kind::arrives, events_.now(), task, place});
 }
 
-void HollowWorkers::leaves(const emulator::TaskName& task, const std::string& machine) {
+void HollowWorkers::leaves(const simulator::TaskName& task, const std::string& machine) {
     progress_.events.push_back({TaskEvent::Kind::leaves, events_.now(), task, {machine, "", "", false}});
 }
 
-void HollowWorkers::completed(const emulator::TaskName& task) {
+void HollowWorkers::completed(const simulator::TaskName& task) {
     progress_.events.push_back({TaskEvent::Kind::completed, events_.now(), task, {}});
 }
 
-void HollowWorkers::ordered(const emulator::TaskName& task) {
+void HollowWorkers::ordered(const simulator::TaskName& task) {
     if (!ordered_.insert(task.first).second) return;
     progress_.events.push_back({TaskEvent::Kind::ordered, events_.now(), task, {}});
 }
@@ -215,4 +216,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/latency.hpp
+++ b/src/load_test/latency.hpp
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class Latencies {
   public:
@@ -15,7 +15,7 @@
         bins_.resize(Latencies().bins_.size());
     }
 
-    void add(wire::Seconds took) { ++bins_[static_cast<std::size_t>(axis().index(took.count())) + 1]; }
+    void add(model::Seconds took) { ++bins_[static_cast<std::size_t>(axis().index(took.count())) + 1]; }
     void add(const Latencies& other) {
         for (std::size_t i = 0; i < bins_.size(); ++i) bins_[i] += other.bins_[i];
     }
@@ -27,7 +27,7 @@
     }
     std::uint64_t count() const;
     // The upper end of the bin that holds that share of all; 0 if there is nothing.
-    wire::Seconds quantile(double share) const;
+    model::Seconds quantile(double share) const;
     const std::vector<std::uint64_t>& bins() const { return bins_; }
 
   private:
@@ -40,4 +40,4 @@
     std::vector<std::uint64_t> bins_;  // below the range first, above it last
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/line_channel.cpp
+++ b/src/load_test/line_channel.cpp
@@ -1,6 +1,6 @@
-#include "scale/line_channel.hpp"
+#include "load_test/line_channel.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 namespace asio = net::asio;
 
@@ -33,4 +33,4 @@
     writing_ = false;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/line_channel.hpp
+++ b/src/load_test/line_channel.hpp
@@ -4,7 +4,7 @@
 
 #include "net/asio.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using net::awaitable;
 
@@ -27,4 +27,4 @@
     bool writing_ = false;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/link_proxy.cpp
+++ b/src/load_test/link_proxy.cpp
@@ -1,10 +1,10 @@
-#include "scale/link_proxy.hpp"
+#include "load_test/link_proxy.hpp"
 
 #include <array>
 
 #include "net/listen.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
 namespace asio = net::asio;
@@ -62,4 +62,4 @@
     pair->close();
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/link_proxy.hpp
+++ b/src/load_test/link_proxy.hpp
@@ -6,7 +6,7 @@
 #include "config/settings.hpp"
 #include "net/asio.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using net::awaitable;
 
@@ -31,4 +31,4 @@
     std::uint64_t bytes_ = 0;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/load_balancer.cpp
+++ b/src/load_test/load_balancer.cpp
@@ -1,11 +1,11 @@
-#include "scale/load_balancer.hpp"
+#include "load_test/load_balancer.hpp"
 
 #include <algorithm>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 namespace asio = net::asio;
 
 namespace {
@@ -14,7 +14,7 @@
 constexpr int failures_in_a_row = 2, failures_kept = 3;
 constexpr int refusals_before_skip = 3, attempts = 3;
 constexpr auto skip = 3s, reset_after = 5s;
-constexpr wire::Seconds first_pause{3}, longest_pause{60};
+constexpr model::Seconds first_pause{3}, longest_pause{60};
 constexpr auto pause_grows_within = 120s;
 }  // namespace
 
@@ -54,7 +54,7 @@
         c.healthy = false;
         c.pause = now - c.since < pause_grows_within && c.ever ? std::min(c.pause * 2, longest_pause) : first_pause;
         c.since = now;
-        c.back_from = now + wire::to_clock(c.pause);
+        c.back_from = now + model::to_clock(c.pause);
         return;
     }
     const bool enough = c.ever ? row >= 2 && now >= c.back_from : true;
@@ -125,4 +125,4 @@
     co_return answer;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/load_balancer.hpp
+++ b/src/load_test/load_balancer.hpp
@@ -5,9 +5,10 @@
 #include <memory>
 
 #include "config/settings.hpp"
+#include "model/clock.hpp"
 #include "net/http_client.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using net::awaitable;
 
@@ -33,8 +34,8 @@
         bool healthy = false, ever = false;
         std::deque<bool> probes;  // the last ones, the newest last
         int open = 0, refusals = 0;
-        wire::TimePoint skipped_until{}, since{}, back_from{};
-        wire::Seconds pause{3};
+        model::TimePoint skipped_until{}, since{}, back_from{};
+        model::Seconds pause{3};
     };
     awaitable<void> probe_loop(std::size_t controller);
     void probed(Controller& controller, bool good);
@@ -53,7 +54,7 @@
     UserConnection& operator=(const UserConnection&) = delete;
     // Status 0 without an answer in time, or where no controller takes the connection.
     awaitable<net::HttpAnswer> request(net::http::verb verb, std::string target, std::string body,
-                                       wire::Clock::duration limit);
+                                       model::Clock::duration limit);
 
   private:
     bool connect();
@@ -66,4 +67,4 @@
     std::shared_ptr<net::HttpClient> client_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/run.cpp
+++ b/src/load_test/load_test.cpp
@@ -1,4 +1,4 @@
-#include "scale/run.hpp"
+#include "load_test/load_test.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -6,10 +6,12 @@
 #include <cmath>
 #include <iostream>
 
-namespace flintdale::scale {
+#include "model/job.hpp"
+
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 namespace asio = net::asio;
 namespace json = boost::json;
 
@@ -34,7 +36,7 @@
 
 }  // namespace
 
-ScaleRun::ScaleRun(net::Executor ex, const Plan& plan, const Programs& programs)
+LoadTest::LoadTest(net::Executor ex, const Plan& plan, const Programs& programs)
     : ex_(ex),
       plan_(plan),
       settings_(config::parse_settings(plan.settings_text(0), "settings")),
@@ -50,22 +52,22 @@
       workers_(ex, plan, programs.hollow, programs.directory, [this](const Progress& p) { heard(p); }),
       state_(ex, events_, settings_.limits, plan.addresses.state()),
       cloud_(ex, events_, rentals_, plan.scenario, settings_,
-             {[this](const emulator::Rented& m) {
+             {[this](const simulator::Rented& m) {
                   workers_.send(m.zone, AddMachine{m.name, m.address, m.type->name, m.zone, m.spot,
                                                    m.type->boot * events_.uniform(boot_from, boot_to)});
               },
-              [this](const emulator::Rented& m) { workers_.send(m.zone, RemoveMachine{m.name}); }}),
-      users_(ex, plan, events_, checker_, [this](const wire::JobSpec& spec, Seconds runs) {
+              [this](const simulator::Rented& m) { workers_.send(m.zone, RemoveMachine{m.name}); }}),
+      users_(ex, plan, events_, checker_, [this](const model::JobSpec& spec, Seconds runs) {
           workers_.send_all(UploadJob{spec, runs});
       }) {}
 
-void ScaleRun::fail(const std::string& why) {
-    std::cerr << "flintdale_scale: " << why << '\n';
+void LoadTest::fail(const std::string& why) {
+    std::cerr << "flintdale_load_test: " << why << '\n';
     failures_.push_back(why);
     over_ = true;
 }
 
-void ScaleRun::add_machines() {
+void LoadTest::add_machines() {
     const auto& types = plan_.scenario.types;
     for (std::size_t i = 0; i < plan_.workers; ++i) {
         const auto& type = types[i % types.size()];
@@ -75,11 +77,11 @@
     }
 }
 
-awaitable<void> ScaleRun::until(Seconds since_start) {
+awaitable<void> LoadTest::until(Seconds since_start) {
     while (!over_ && Clock::now() - start_ < since_start) co_await net::sleep_for(50ms);
 }
 
-awaitable<void> ScaleRun::play() {
+awaitable<void> LoadTest::play() {
     state_.start();
     cloud_.start();
     workers_.start();
@@ -106,7 +108,7 @@
     checker_.settle(std::min(workers_.told_until(), end));
 }
 
-awaitable<void> ScaleRun::kill_leader() {
+awaitable<void> LoadTest::kill_leader() {
     const auto name = state_.leader();
     const auto& members = plan_.scenario.members;
     const auto at = std::find(members.begin(), members.end(), name);
@@ -115,15 +117,15 @@
         co_return;
     }
     const auto n = static_cast<std::size_t>(at - members.begin());
-    for (const auto& news : tokens_) token_at_kill_ = std::max(token_at_kill_, news.token);
+    for (const auto& news : tokens_) token_at_kill_ = std::max(token_at_kill_, news.fencing_token);
     killed_at_ = Clock::now();
     deployment_.kill(n);
     std::cerr << fmt::format("{:6.1f} s: {} led and is killed\n", Seconds(*killed_at_ - start_).count(), name);
-    co_await net::sleep_for(wire::to_clock(plan_.controller_back));
+    co_await net::sleep_for(model::to_clock(plan_.controller_back));
     deployment_.start(n);
 }
 
-awaitable<void> ScaleRun::clock_loop() {
+awaitable<void> LoadTest::clock_loop() {
     while (!over_) {
         events_.advance_to(Clock::now());
         checker_.settle(std::min(workers_.told_until(), Clock::now()));
@@ -131,19 +133,19 @@
     }
 }
 
-awaitable<void> ScaleRun::failure_loop() {
+awaitable<void> LoadTest::failure_loop() {
     const double a_day = plan_.restarts_a_day + plan_.deaths_a_day;
     if (a_day <= 0) co_return;
-    co_await net::sleep_for(wire::to_clock(plan_.ramp));
+    co_await net::sleep_for(model::to_clock(plan_.ramp));
     while (!over_) {
         const double a_second = a_day * static_cast<double>(plan_.workers) / day_s;
         const Seconds gap(-std::log(1 - events_.uniform(0, 1)) / a_second);
-        co_await net::sleep_for(wire::to_clock(gap));
+        co_await net::sleep_for(model::to_clock(gap));
         if (!over_) fail_one(events_.chance(plan_.deaths_a_day / a_day));
     }
 }
 
-void ScaleRun::fail_one(bool dies) {
+void LoadTest::fail_one(bool dies) {
     const auto& all = rentals_.all();
     if (all.empty()) return;
     auto it = all.begin();
@@ -159,7 +161,7 @@
     }
 }
 
-std::size_t ScaleRun::memory_in_use() const {
+std::size_t LoadTest::memory_in_use() const {
     const auto own = usage_of(getpid());
     std::size_t out = own ? own->resident_bytes : 0;
     for (std::size_t n = 0; n < plan_.controllers; ++n)
@@ -168,7 +170,7 @@
     return out;
 }
 
-awaitable<void> ScaleRun::watch_loop() {
+awaitable<void> LoadTest::watch_loop() {
     for (int n = 0; !over_; ++n) {
         co_await net::sleep_for(watch_step);
         if (over_) co_return;
@@ -189,7 +191,7 @@
     }
 }
 
-void ScaleRun::heard(const Progress& progress) {
+void LoadTest::heard(const Progress& progress) {
     for (const auto& name : progress.came_up) rentals_.came_up(name);
     for (const auto& news : progress.tokens) tokens_.push_back(news);
     for (const auto& e : progress.events) {
@@ -197,15 +199,15 @@
         if (e.kind == Kind::ordered)
             users_.ordered(e.task.first, e.at);
         else if (e.kind == Kind::arrives)
-            checker_.at(e.at, [e](emulator::Checker& c) { c.arrives(e.task, e.place); });
+            checker_.at(e.at, [e](simulator::Checker& c) { c.arrives(e.task, e.place); });
         else if (e.kind == Kind::leaves)
-            checker_.at(e.at, [e](emulator::Checker& c) { c.leaves(e.task, e.place.machine); });
+            checker_.at(e.at, [e](simulator::Checker& c) { c.leaves(e.task, e.place.machine); });
         else
-            checker_.at(e.at, [e](emulator::Checker& c) { c.completed(e.task); });
+            checker_.at(e.at, [e](simulator::Checker& c) { c.completed(e.task); });
     }
 }
 
-awaitable<std::optional<ScaleRun::Snapshot>> ScaleRun::snapshot() {
+awaitable<std::optional<LoadTest::Snapshot>> LoadTest::snapshot() {
     auto sample = co_await workers_.sample();
     if (!sample) {
         fail("a worker process gives no sample");
@@ -225,19 +227,19 @@
     co_return std::optional<Snapshot>(std::move(s));
 }
 
-bool ScaleRun::passed() const {
+bool LoadTest::passed() const {
     const bool worked = last_ && last_->workers.counts.answered > 0 && last_->workers.counts.started > 0 &&
                         users_.counts().accepted > 0;
     const bool handed_over = !killed_at_ || handover().contains("first_answer_s");
     return failures_.empty() && checker_.checker().broken().empty() && worked && handed_over;
 }
 
-json::object ScaleRun::handover() const {
+json::object LoadTest::handover() const {
     json::object out;
     if (!killed_at_) return out;
-    std::optional<wire::TimePoint> answer, run;
+    std::optional<model::TimePoint> answer, run;
     for (const auto& news : tokens_) {
-        if (news.token <= token_at_kill_) continue;
+        if (news.fencing_token <= token_at_kill_) continue;
         auto& first = news.runs ? run : answer;
         if (!first || news.at < *first) first = news.at;
     }
@@ -247,7 +249,7 @@
 }
 
 // Of the window, a second.
-json::object ScaleRun::rates() const {
+json::object LoadTest::rates() const {
     const auto &a = *window_start_, &b = *window_end_;
     const double seconds = Seconds(b.at - a.at).count();
     const auto rate = [&](auto from, auto to) { return rounded(static_cast<double>(to - from) / seconds); };
@@ -275,7 +277,7 @@
             {"peer_bytes", rate(a.link_bytes, b.link_bytes)}};
 }
 
-json::array ScaleRun::processes() const {
+json::array LoadTest::processes() const {
     json::array out;
     const auto &a = *window_start_, &b = *window_end_;
     const double seconds = Seconds(b.at - a.at).count();
@@ -301,7 +303,7 @@
     return out;
 }
 
-json::object ScaleRun::result() const {
+json::object LoadTest::result() const {
     json::object broken, first;
     for (const auto& [rule, n] : checker_.checker().broken()) broken[rule] = n;
     for (const auto& [rule, what] : checker_.checker().first()) first[rule] = what;
@@ -353,4 +355,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/run.hpp
+++ b/src/load_test/load_test.hpp
@@ -3,13 +3,14 @@
 #pragma once
 #include <boost/json.hpp>
 
-#include "scale/cloud_server.hpp"
-#include "scale/deployment.hpp"
-#include "scale/state_server.hpp"
-#include "scale/users.hpp"
-#include "scale/worker_processes.hpp"
+#include "load_test/cloud_server.hpp"
+#include "load_test/deployment.hpp"
+#include "load_test/state_server.hpp"
+#include "load_test/users.hpp"
+#include "load_test/worker_processes.hpp"
+#include "model/clock.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 // What is needed to start the processes.
 struct Programs {
@@ -18,9 +19,9 @@
     std::filesystem::path directory;  // for settings and logs
 };
 
-class ScaleRun {
+class LoadTest {
   public:
-    ScaleRun(net::Executor ex, const Plan& plan, const Programs& programs);
+    LoadTest(net::Executor ex, const Plan& plan, const Programs& programs);
     // Plays it to its end, or until something makes it pointless to go on.
     awaitable<void> play();
 
@@ -31,7 +32,7 @@
   private:
     // All that is counted, at one moment.
     struct Snapshot {
-        wire::TimePoint at{};
+        model::TimePoint at{};
         Sample workers;
         std::vector<std::optional<ProcessUsage>> controllers;
         std::vector<ProcessUsage> hollow;
@@ -59,9 +60,9 @@
     net::Executor ex_;
     const Plan& plan_;
     config::Settings settings_;
-    emulator::Events events_;
-    wire::TimePoint start_;
-    emulator::Rentals rentals_;
+    simulator::Events events_;
+    model::TimePoint start_;
+    simulator::Rentals rentals_;
     OrderedChecker checker_;
     Deployment deployment_;
     WorkerProcesses workers_;
@@ -69,7 +70,7 @@
     CloudServer cloud_;
     Users users_;
     std::vector<TokenNews> tokens_;
-    std::optional<wire::TimePoint> killed_at_;
+    std::optional<model::TimePoint> killed_at_;
     std::uint64_t token_at_kill_ = 0;
     std::size_t restarted_ = 0, died_ = 0;
     std::optional<Snapshot> window_start_, window_end_, last_;
@@ -77,4 +78,4 @@
     bool over_ = false;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/messages.cpp
+++ b/src/load_test/messages.cpp
@@ -1,8 +1,8 @@
-#include "scale/messages.hpp"
+#include "load_test/messages.hpp"
 
 #include "wire/json.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 namespace json = boost::json;
 
@@ -83,7 +83,7 @@
     std::string operator()(const Progress& m) const {
         json::array events, tokens;
         for (const auto& e : m.events) events.push_back(to_json(e));
-        for (const auto& t : m.tokens) tokens.push_back(json::array{t.token, to_number(t.at), t.runs});
+        for (const auto& t : m.tokens) tokens.push_back(json::array{t.fencing_token, to_number(t.at), t.runs});
         return line_of("progress", {{"now", to_number(m.now)},
                                     {"counts", to_json(m.counts)},
                                     {"events", std::move(events)},
@@ -148,4 +148,4 @@
     throw std::runtime_error("unknown message: " + kind);
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/messages.hpp
+++ b/src/load_test/messages.hpp
@@ -3,19 +3,21 @@
 #pragma once
 #include <variant>
 
-#include "emulator/checker.hpp"
-#include "emulator/rentals.hpp"
-#include "scale/latency.hpp"
+#include "load_test/latency.hpp"
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "simulator/checker.hpp"
+#include "simulator/rentals.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
-using wire::Seconds;
-using wire::TimePoint;
+using model::Seconds;
+using model::TimePoint;
 
 // --- to the hollow workers ---
 
 struct UploadJob {
-    wire::JobSpec spec;
+    model::JobSpec spec;
     Seconds runs{0};
 };
 struct AddMachine {
@@ -45,12 +47,12 @@
     enum class Kind : std::uint8_t { arrives, leaves, completed, ordered };
     Kind kind = Kind::arrives;
     TimePoint at{};
-    emulator::TaskName task;
-    emulator::Place place;  // of a task that leaves: the machine only
+    simulator::TaskName task;
+    simulator::Place place;  // of a task that leaves: the machine only
 };
 // A token that was not seen before: when an answer first bore it, and when one first ordered a task to run.
 struct TokenNews {
-    std::uint64_t token = 0;
+    std::uint64_t fencing_token = 0;
     TimePoint at{};
     bool runs = false;
 };
@@ -80,4 +82,4 @@
 std::string to_line(const FromWorkers& message);
 FromWorkers parse_from_workers(const std::string& line);  // throws std::exception on anything else
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/ordered_checker.hpp
+++ b/src/load_test/ordered_checker.hpp
@@ -3,19 +3,21 @@
 #pragma once
 #include <functional>
 
-#include "emulator/checker.hpp"
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "simulator/checker.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class OrderedChecker {
   public:
-    OrderedChecker(const config::Settings& settings, wire::TimePoint start)
+    OrderedChecker(const config::Settings& settings, model::TimePoint start)
         : events_(1, start), checker_(events_, settings) {}
 
-    using Step = std::function<void(emulator::Checker&)>;
-    void at(wire::TimePoint when, Step step) { waiting_.emplace(when, std::move(step)); }
+    using Step = std::function<void(simulator::Checker&)>;
+    void at(model::TimePoint when, Step step) { waiting_.emplace(when, std::move(step)); }
     // All that happened up to then has been told.
-    void settle(wire::TimePoint until) {
+    void settle(model::TimePoint until) {
         while (!waiting_.empty() && waiting_.begin()->first <= until) {
             events_.advance_to(waiting_.begin()->first);
             const auto step = std::move(waiting_.begin()->second);
@@ -27,15 +29,15 @@
         looked_ = until;
         checker_.look();
     }
-    void submitted(const wire::JobSpec& spec) { checker_.submitted(spec); }
-    const emulator::Checker& checker() const { return checker_; }
+    void submitted(const model::JobSpec& spec) { checker_.submitted(spec); }
+    const simulator::Checker& checker() const { return checker_; }
 
   private:
     static constexpr std::chrono::milliseconds look_gap{500};
-    emulator::Events events_;
-    emulator::Checker checker_;
-    std::multimap<wire::TimePoint, Step> waiting_;
-    wire::TimePoint looked_{};
+    simulator::Events events_;
+    simulator::Checker checker_;
+    std::multimap<model::TimePoint, Step> waiting_;
+    model::TimePoint looked_{};
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/plan.cpp
+++ b/src/load_test/plan.cpp
@@ -1,4 +1,4 @@
-#include "scale/plan.hpp"
+#include "load_test/plan.hpp"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -9,9 +9,11 @@
 #include <regex>
 #include <sstream>
 
-namespace flintdale::scale {
+#include "model/job.hpp"
 
-using config::BadSetting;
+namespace flintdale::load_test {
+
+using config::ConfigError;
 
 namespace {
 
@@ -29,7 +31,7 @@
     double number(const char* key, double least, double most) const {
         const auto value = table_[key].value<double>();
         if (!value || *value < least || *value > most)
-            throw BadSetting(fmt::format("scale.{}: expected a number from {} to {}", key, least, most));
+            throw ConfigError(fmt::format("scale.{}: expected a number from {} to {}", key, least, most));
         return *value;
     }
     std::size_t count(const char* key, double least, double most) const {
@@ -42,7 +44,7 @@
 
 std::string read(const std::string& path) {
     std::ifstream in(path);
-    if (!in) throw BadSetting(path + ": cannot be read");
+    if (!in) throw ConfigError(path + ": cannot be read");
     std::ostringstream text;
     text << in.rdbuf();
     return text.str();
@@ -61,12 +63,12 @@
 
 std::size_t checked(std::size_t value, std::size_t least, std::size_t most, const char* what) {
     if (value < least || value > most)
-        throw BadSetting(fmt::format("{}: expected {} to {}, found {}", what, least, most, value));
+        throw ConfigError(fmt::format("{}: expected {} to {}, found {}", what, least, most, value));
     return value;
 }
 
 // Jobs come in proportion to the workers.
-void scale_jobs(emulator::Scenario& scenario, double factor) {
+void scale_jobs(simulator::Scenario& scenario, double factor) {
     for (auto& job : scenario.jobs) {
         job.initial = static_cast<int>(std::lround(job.initial * factor));
         job.per_minute *= factor;
@@ -93,21 +95,21 @@
 void check_machine(const Plan& plan) {
     const auto processes = plan.controllers + plan.hollow_processes + 1;
     if (processes > most_processes)
-        throw BadSetting(fmt::format("{} processes: at most {} are allowed", processes, most_processes));
+        throw ConfigError(fmt::format("{} processes: at most {} are allowed", processes, most_processes));
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
     const auto most =
         (plan.workers / plan.zones + 1) * ((plan.zones + plan.hollow_processes - 1) / plan.hollow_processes);
     const auto wanted = most * files_of_a_worker + other_files;
     if (wanted > files.rlim_cur)
-        throw BadSetting(
+        throw ConfigError(
             fmt::format("{} workers in one process want {} open files, and the limit is {}: more zones "
                         "spread them over more processes",
                         most, wanted, files.rlim_cur));
     const auto memory = plan.workers * bytes_of_a_worker + processes * bytes_of_a_process;
     if (memory > memory_bound())
-        throw BadSetting(fmt::format("about {} MB are wanted, and half of the machine's memory is {} MB", memory >> 20,
-                                     memory_bound() >> 20));
+        throw ConfigError(fmt::format("about {} MB are wanted, and half of the machine's memory is {} MB", memory >> 20,
+                                      memory_bound() >> 20));
 }
 
 }  // namespace
@@ -151,7 +153,7 @@
     auto file = read(path);
     if (o.report_s) {
         if (*o.report_s < 1 || *o.report_s > 60)
-            throw BadSetting(fmt::format("report_s: expected 1 to 60, found {}", *o.report_s));
+            throw ConfigError(fmt::format("report_s: expected 1 to 60, found {}", *o.report_s));
         const std::regex setting(R"((^|\n)report_s = [0-9.]+)");
         file = std::regex_replace(file, setting, fmt::format("$1report_s = {}", *o.report_s));
     }
@@ -159,10 +161,10 @@
     try {
         root = toml::parse(file, path);
     } catch (const toml::parse_error& e) {
-        throw BadSetting(fmt::format("{}: line {}: {}", path, e.source().begin.line, e.description()));
+        throw ConfigError(fmt::format("{}: line {}: {}", path, e.source().begin.line, e.description()));
     }
     const auto* table = root["scale"].as_table();
-    if (!table) throw BadSetting(path + ": scale: expected a table");
+    if (!table) throw ConfigError(path + ": scale: expected a table");
     const Table t(*table);
     Plan p;
     p.workers = checked(o.workers.value_or(t.count("workers", 1, most_workers)), 1, most_workers, "workers");
@@ -173,18 +175,18 @@
     p.users = t.count("users", 1, 2000);
     p.length = Seconds(o.length_s.value_or(t.number("length_s", 5, 600)));
     if (p.length < Seconds(5) || p.length > Seconds(600))
-        throw BadSetting(fmt::format("length_s: expected 5 to 600, found {}", p.length.count()));
+        throw ConfigError(fmt::format("length_s: expected 5 to 600, found {}", p.length.count()));
     p.ramp = Seconds(t.number("ramp_s", 0, 60));
     p.window_from = Seconds(o.window_from_s.value_or(t.number("window_from_s", 0, 600)));
     p.window = Seconds(o.window_s.value_or(t.number("window_s", 1, 600)));
     if (p.window_from < Seconds(0) || p.window < Seconds(1) || p.window_from + p.window > p.length)
-        throw BadSetting("window_s: expected a second or more, within the run's length");
+        throw ConfigError("window_s: expected a second or more, within the run's length");
     p.kill_leader_at = Seconds(o.kill_leader_s.value_or(t.number("kill_leader_s", 0, 600)));
     if (p.kill_leader_at.count() != 0 && (p.kill_leader_at >= p.length || p.kill_leader_at < p.window_from + p.window))
-        throw BadSetting("kill_leader_s: expected after the window that is measured, within the run's length");
+        throw ConfigError("kill_leader_s: expected after the window that is measured, within the run's length");
     p.controller_back = Seconds(t.number("controller_back_s", 0, 600));
     const double factor = o.failure_factor.value_or(1);
-    if (factor < 0) throw BadSetting("failure factor: expected 0 or more");
+    if (factor < 0) throw ConfigError("failure factor: expected 0 or more");
     p.restarts_a_day = t.number("restarts_a_day", 0, 1000) * factor;
     p.deaths_a_day = t.number("deaths_a_day", 0, 1000) * factor;
     p.operator_config = o.operator_config.value_or("");
@@ -202,17 +204,17 @@
     text += teams_text(root, p.workers, p.teams, t.number("team_parts", 1, 1000));
     text += fmt::format("[cluster.limits]\nmax_sockets = {}\ncore_share = {}\n",
                         o.max_sockets.value_or(t.number("max_sockets", 16, 100'000)), t.number("core_share", 0.001, 1));
-    p.scenario = emulator::parse_scenario(text, path.substr(path.rfind('/') + 1));
+    p.scenario = simulator::parse_scenario(text, path.substr(path.rfind('/') + 1));
     for (auto& type : p.scenario.types) {
         type.zones.clear();
         for (std::size_t i = 0; i < p.zones; ++i) type.zones.push_back(zone_name(i));
     }
     for (const auto& job : p.scenario.jobs)
-        if (job.like.shape == wire::Shape::gang && !job.like.one_zone && p.hollow_processes > 1)
-            throw BadSetting("jobs: a gang must be of one zone where workers are spread over processes");
+        if (job.like.kind == model::JobKind::gang && !job.like.one_zone && p.hollow_processes > 1)
+            throw ConfigError("jobs: a gang must be of one zone where workers are spread over processes");
     scale_jobs(p.scenario, static_cast<double>(p.workers) / t.number("jobs_for_workers", 1, most_workers));
     check_machine(p);
     return p;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/plan.hpp
+++ b/src/load_test/plan.hpp
@@ -2,11 +2,12 @@
 #pragma once
 #include <optional>
 
-#include "emulator/scenario.hpp"
+#include "model/clock.hpp"
+#include "simulator/scenario.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
-using wire::Seconds;
+using model::Seconds;
 
 // What the command line says in place of the file.
 struct Overrides {
@@ -37,7 +38,7 @@
 };
 
 struct Plan {
-    emulator::Scenario scenario;
+    simulator::Scenario scenario;
     std::size_t workers = 0, controllers = 0, zones = 0, teams = 0, users = 0;
     std::size_t hollow_processes = 0;
     Seconds length{0}, ramp{0}, window_from{0}, window{0};
@@ -54,10 +55,10 @@
     std::string settings_text(std::size_t controller) const;
 };
 
-// Throws config::BadSetting that says what is wrong, also where the size does not fit the machine.
+// Throws config::ConfigError that says what is wrong, also where the size does not fit the machine.
 Plan make_plan(const std::string& path, const Overrides& overrides);
 
 // Half of the machine's memory, which a run may not exceed.
 std::size_t memory_bound();
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/process.cpp
+++ b/src/load_test/process.cpp
@@ -1,4 +1,4 @@
-#include "scale/process.hpp"
+#include "load_test/process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <system_error>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 namespace {
 
@@ -110,4 +110,4 @@
     id_ = -1;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/process.hpp
+++ b/src/load_test/process.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 // What a process has used so far.
 struct ProcessUsage {
@@ -43,4 +43,4 @@
     int to_child_ = -1, from_child_ = -1;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/query.hpp
+++ b/src/load_test/query.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 struct Query {
     std::string path;
@@ -34,4 +34,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/rate_limit.hpp
+++ b/src/load_test/rate_limit.hpp
@@ -2,17 +2,17 @@
 #pragma once
 #include <algorithm>
 
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class RateLimit {
   public:
-    RateLimit(double a_second, double burst_s, wire::TimePoint now)
+    RateLimit(double a_second, double burst_s, model::TimePoint now)
         : rate_(a_second), most_(a_second * burst_s), left_(most_), last_(now) {}
     // False if that is over the limit; then nothing is taken.
-    bool take(double amount, wire::TimePoint now) {
-        left_ = std::min(most_, left_ + wire::Seconds(now - last_).count() * rate_);
+    bool take(double amount, model::TimePoint now) {
+        left_ = std::min(most_, left_ + model::Seconds(now - last_).count() * rate_);
         last_ = now;
         if (left_ < amount) return false;
         left_ -= amount;
@@ -21,7 +21,7 @@
 
   private:
     double rate_, most_, left_;
-    wire::TimePoint last_;
+    model::TimePoint last_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/state_server.cpp
+++ b/src/load_test/state_server.cpp
@@ -1,13 +1,13 @@
-#include "scale/state_server.hpp"
+#include "load_test/state_server.hpp"
 
 #include "election/elector.hpp"
 #include "wire/json.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
+using model::Clock;
 using net::http::verb;
-using wire::Clock;
 namespace json = boost::json;
 
 namespace {
@@ -27,8 +27,8 @@
 
 net::Reply malformed(const std::string& why) { return reply(400, {{"error", why}}); }
 
-json::object item_json(const state::Item& item) {
-    return {{"key", item.key}, {"v", item.value}, {"stamp", item.stamp}};
+json::object item_json(const state::KeyValue& item) {
+    return {{"key", item.key}, {"v", item.value}, {"stamp", item.mod_revision}};
 }
 
 state::Txn parse_txn(const json::object& body) {
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-StateServer::StateServer(net::Executor ex, emulator::Events& events, const config::StateLimits& limits,
+StateServer::StateServer(net::Executor ex, simulator::Events& events, const config::StateLimits& limits,
                          const config::Address& address)
     : events_(events),
       keys_(events),
@@ -69,7 +69,7 @@
 std::string StateServer::leader() {
     keys_.expire();
     const auto holder = keys_.get(election::holder_key);
-    return holder.stamp ? std::string(holder.value.as_object().at("member").as_string()) : std::string();
+    return holder.mod_revision ? std::string(holder.value.as_object().at("member").as_string()) : std::string();
 }
 
 awaitable<net::Reply> StateServer::handle(net::Request request) {
@@ -81,12 +81,12 @@
         ++counts_.refused;
         co_return reply(429, {});
     }
-    bool watch = false;
+    bool is_watch = false;
     Query query;
     try {
         query = parse_query(request.target);
-        watch = query.path == "/follow";
-        if (watch) {
+        is_watch = query.path == "/follow";
+        if (is_watch) {
             query.number("from", 0);
             query.number("hold_ms", 0);
         } else if (query.path == "/multi" && request.verb == verb::post) {
@@ -102,15 +102,15 @@
         }
     } catch (const std::exception& e) {
         out = malformed(e.what());
-        watch = false;
+        is_watch = false;
     }
-    if (watch) co_return co_await follow(std::move(query));
+    if (is_watch) co_return co_await watch(std::move(query));
     co_return out;
 }
 
 net::Reply StateServer::get(const std::string& key) {
     const auto item = keys_.get(key);
-    return item.stamp ? reply(200, item_json(item)) : reply(404, {{"epoch", keys_.revision()}});
+    return item.mod_revision ? reply(200, item_json(item)) : reply(404, {{"epoch", keys_.revision()}});
 }
 
 net::Reply StateServer::range(const Query& query) {
@@ -147,9 +147,9 @@
 
 net::Reply StateServer::leases(const net::Request& request, const std::string& path) {
     if (path == "/grants") {
-        const auto life = wire::parse_object(request.body).at("life_ms").to_number<std::uint64_t>();
-        if (life < shortest_lease_ms || life > longest_lease_ms) return malformed("life_ms: out of range");
-        return reply(200, {{"permit", keys_.grant(std::chrono::milliseconds(life))}});
+        const auto ttl = wire::parse_object(request.body).at("life_ms").to_number<std::uint64_t>();
+        if (ttl < shortest_lease_ms || ttl > longest_lease_ms) return malformed("life_ms: out of range");
+        return reply(200, {{"permit", keys_.grant(std::chrono::milliseconds(ttl))}});
     }
     const auto id = std::stoull(path.substr(lease_prefix.size()));
     if (request.verb == verb::delete_) {
@@ -159,7 +159,7 @@
     return keys_.renew(id) ? reply(200, {{"permit", id}}) : reply(404, {});
 }
 
-awaitable<net::Reply> StateServer::follow(Query query) {
+awaitable<net::Reply> StateServer::watch(Query query) {
     const auto prefix = query.text("starts");
     const auto from = query.number("from", 0);
     const auto hold =
@@ -178,9 +178,9 @@
                 for (std::size_t i = 0; i < seen.events.size(); ++i) {
                     const auto& e = seen.events[i];
                     if (seen.deleted[i])
-                        events.push_back(json::object{{"delete", e.key}, {"stamp", e.stamp}});
+                        events.push_back(json::object{{"delete", e.key}, {"stamp", e.mod_revision}});
                     else
-                        events.push_back(json::object{{"write", e.key}, {"v", e.value}, {"stamp", e.stamp}});
+                        events.push_back(json::object{{"write", e.key}, {"v", e.value}, {"stamp", e.mod_revision}});
                 }
                 co_return reply(200, {{"epoch", seen.revision}, {"events", std::move(events)}});
             }
@@ -190,4 +190,4 @@
     }
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/state_server.hpp
+++ b/src/load_test/state_server.hpp
@@ -1,11 +1,11 @@
-// The state service by its protocol, over HTTP: emulator::Keys behind its limits.
+// The state service by its protocol, over HTTP: simulator::Keys behind its limits.
 #pragma once
-#include "emulator/state_service.hpp"
+#include "load_test/query.hpp"
+#include "load_test/rate_limit.hpp"
 #include "net/http_server.hpp"
-#include "scale/query.hpp"
-#include "scale/rate_limit.hpp"
+#include "simulator/state_service.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using net::awaitable;
 
@@ -14,7 +14,7 @@
     struct Counts {
         std::uint64_t requests = 0, writes = 0, refused = 0;
     };
-    StateServer(net::Executor ex, emulator::Events& events, const config::StateLimits& limits,
+    StateServer(net::Executor ex, simulator::Events& events, const config::StateLimits& limits,
                 const config::Address& address);
     void start() { server_.start(); }
 
@@ -29,14 +29,14 @@
     net::Reply range(const Query& query);
     net::Reply commit(const std::string& body);
     net::Reply leases(const net::Request& request, const std::string& path);
-    awaitable<net::Reply> follow(Query query);
+    awaitable<net::Reply> watch(Query query);
 
-    emulator::Events& events_;
-    emulator::Keys keys_;
+    simulator::Events& events_;
+    simulator::Keys keys_;
     config::StateLimits limits_;
     RateLimit requests_, writes_;
     Counts counts_;
     net::HttpServer server_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/users.cpp
+++ b/src/load_test/users.cpp
@@ -1,14 +1,15 @@
-#include "scale/users.hpp"
+#include "load_test/users.hpp"
 
 #include <cmath>
 
+#include "model/job.hpp"
 #include "wire/json.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
+using model::Clock;
 using net::http::verb;
-using wire::Clock;
 namespace asio = net::asio;
 
 namespace {
@@ -36,7 +37,7 @@
 
 }  // namespace
 
-Users::Users(net::Executor ex, const Plan& plan, emulator::Events& luck, OrderedChecker& checker, Upload upload)
+Users::Users(net::Executor ex, const Plan& plan, simulator::Events& luck, OrderedChecker& checker, Upload upload)
     : ex_(ex),
       plan_(plan),
       luck_(luck),
@@ -55,26 +56,26 @@
     }
 }
 
-awaitable<void> Users::first_jobs(const emulator::JobClass& job_class) {
+awaitable<void> Users::first_jobs(const simulator::JobClass& job_class) {
     const auto gap = plan_.ramp / std::max(1, job_class.initial);
     for (int i = 0; i < job_class.initial; ++i) {
-        co_await net::sleep_for(wire::to_clock(gap));
+        co_await net::sleep_for(model::to_clock(gap));
         // As if it had run for some time already: else all first jobs would end together.
         new_job(job_class, luck_.uniform(least_left, 1));
     }
 }
 
-awaitable<void> Users::arrivals(const emulator::JobClass& job_class) {
+awaitable<void> Users::arrivals(const simulator::JobClass& job_class) {
     while (job_class.per_minute > 0) {
         const Seconds gap(-std::log(1 - luck_.uniform(0, 1)) * 60 / job_class.per_minute);
-        co_await net::sleep_for(wire::to_clock(gap));
+        co_await net::sleep_for(model::to_clock(gap));
         new_job(job_class, 1);
     }
 }
 
-void Users::new_job(const emulator::JobClass& job_class, double left) {
+void Users::new_job(const simulator::JobClass& job_class, double left) {
     auto job = std::make_shared<Job>();
-    job->spec = emulator::new_job_spec(job_class, ++numbers_, luck_);
+    job->spec = simulator::new_job_spec(job_class, ++numbers_, luck_);
     job->spec.team = plan_.team(luck_.pick(plan_.teams));
     if (luck_.chance(job_class.cancelled))
         job->cancel_after = Seconds(luck_.uniform(job_class.cancel_from, job_class.cancel_to));
@@ -92,7 +93,7 @@
     if (job->cancel_after.count() >= 0) asio::co_spawn(ex_, cancel_later(job), asio::detached);
     while (!job->over) {
         const Seconds gap(poll_gap_s * luck_.uniform(1 - poll_spread, 1 + poll_spread));
-        co_await net::sleep_for(wire::to_clock(gap));
+        co_await net::sleep_for(model::to_clock(gap));
         if (!job->over) co_await poll(job);
     }
     jobs_.erase(job->spec.uid);
@@ -109,7 +110,7 @@
 
 awaitable<bool> Users::submit(JobPtr job) {
     const auto began = Clock::now();
-    const auto request = emulator::submission_request(job->spec);
+    const auto request = simulator::submission_request(job->spec);
     ++counts_.submitted;
     while (Clock::now() - began < keeps_trying) {
         const auto asked = Clock::now();
@@ -120,14 +121,14 @@
             job->accepted_at = job->answered_at = Clock::now();
             ++counts_.accepted;
             submissions_.add(job->accepted_at - began);
-            checker_.at(job->accepted_at, [uid = job->spec.uid](emulator::Checker& c) { c.accepted(uid); });
+            checker_.at(job->accepted_at, [uid = job->spec.uid](simulator::Checker& c) { c.accepted(uid); });
             told(job, answer, asked);
             note_start(*job);
             co_return true;
         }
         if (answer.status == 400 || answer.status == 422) break;
         const Seconds pause(luck_.uniform(retry_from_s, retry_to_s));
-        co_await net::sleep_for(wire::to_clock(pause));
+        co_await net::sleep_for(model::to_clock(pause));
     }
     ++counts_.given_up;
     co_return false;
@@ -139,38 +140,38 @@
     const auto answer = co_await ask(job, verb::get, std::move(target), std::move(body), poll_limit);
     const auto now = Clock::now();
     const auto& uid = job->spec.uid;
-    if (answer.status == 404) checker_.at(now, [uid](emulator::Checker& c) { c.told_unknown(uid); });
+    if (answer.status == 404) checker_.at(now, [uid](simulator::Checker& c) { c.told_unknown(uid); });
     if (answer.status == 200) told(job, answer, asked);
     // While others are answered.
     if (now - job->answered_at > forgotten_after && now - last_answer_ < forgotten_after)
-        checker_.at(now, [uid](emulator::Checker& c) { c.unanswered(uid); });
+        checker_.at(now, [uid](simulator::Checker& c) { c.unanswered(uid); });
 }
 
 awaitable<void> Users::cancel_later(JobPtr job) {
-    co_await net::sleep_for(wire::to_clock(job->cancel_after));
-    checker_.at(Clock::now(), [uid = job->spec.uid](emulator::Checker& c) { c.asked_to_cancel(uid); });
+    co_await net::sleep_for(model::to_clock(job->cancel_after));
+    checker_.at(Clock::now(), [uid = job->spec.uid](simulator::Checker& c) { c.asked_to_cancel(uid); });
     while (!job->over) {
         const auto asked = Clock::now();
         std::string target = "/submissions/" + job->spec.uid + "/cancel", body;
         const auto answer = co_await ask(job, verb::post, std::move(target), std::move(body), submission_limit);
         if (answer.status == 200) told(job, answer, asked);
         const Seconds pause(luck_.uniform(retry_from_s, retry_to_s));
-        co_await net::sleep_for(wire::to_clock(pause));
+        co_await net::sleep_for(model::to_clock(pause));
     }
 }
 
-void Users::told(const JobPtr& job, const net::HttpAnswer& answer, wire::TimePoint asked) {
+void Users::told(const JobPtr& job, const net::HttpAnswer& answer, model::TimePoint asked) {
     const auto status = status_of(answer);
     if (!status) return;
     const auto now = Clock::now();
     job->answered_at = last_answer_ = now;
-    checker_.at(now, [uid = job->spec.uid, word = *status, asked](emulator::Checker& c) { c.told(uid, word, asked); });
+    checker_.at(now, [uid = job->spec.uid, word = *status, asked](simulator::Checker& c) { c.told(uid, word, asked); });
     if (job->over || (*status != "done" && *status != "aborted")) return;
     job->over = true;
     ++(*status == "done" ? counts_.done : counts_.cancelled);
 }
 
-void Users::ordered(const std::string& uid, wire::TimePoint at) {
+void Users::ordered(const std::string& uid, model::TimePoint at) {
     const auto it = jobs_.find(uid);
     if (it == jobs_.end() || it->second->ordered_at) return;
     it->second->ordered_at = at;
@@ -182,7 +183,8 @@
     if (!job.accepted || !job.ordered_at) return;
     const auto waited = std::max(Seconds(0), Seconds(*job.ordered_at - job.accepted_at));
     starts_.add(waited);
-    if (job.spec.rank == wire::Rank::critical && job.spec.shape != wire::Shape::service) urgent_starts_.add(waited);
+    if (job.spec.priority == model::Priority::critical && job.spec.kind != model::JobKind::service)
+        urgent_starts_.add(waited);
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/users.hpp
+++ b/src/load_test/users.hpp
@@ -2,13 +2,15 @@
 #pragma once
 #include <unordered_map>
 
-#include "emulator/jobs.hpp"
-#include "scale/latency.hpp"
-#include "scale/load_balancer.hpp"
-#include "scale/ordered_checker.hpp"
-#include "scale/plan.hpp"
+#include "load_test/latency.hpp"
+#include "load_test/load_balancer.hpp"
+#include "load_test/ordered_checker.hpp"
+#include "load_test/plan.hpp"
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "simulator/jobs.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class Users {
   public:
@@ -18,11 +20,11 @@
         std::uint64_t bytes_sent = 0, bytes_received = 0;
     };
     // `upload` is told of each job before it is submitted.
-    using Upload = std::function<void(const wire::JobSpec&, Seconds runs)>;
-    Users(net::Executor ex, const Plan& plan, emulator::Events& luck, OrderedChecker& checker, Upload upload);
+    using Upload = std::function<void(const model::JobSpec&, Seconds runs)>;
+    Users(net::Executor ex, const Plan& plan, simulator::Events& luck, OrderedChecker& checker, Upload upload);
     void start();
     // The first task of the job was ordered to run.
-    void ordered(const std::string& uid, wire::TimePoint at);
+    void ordered(const std::string& uid, model::TimePoint at);
 
     const Counts& counts() const { return counts_; }
     const Latencies& submissions() const { return submissions_; }      // first attempt to acceptance
@@ -31,40 +33,40 @@
 
   private:
     struct Job {
-        wire::JobSpec spec;
-        wire::TimePoint accepted_at{}, answered_at{};
-        std::optional<wire::TimePoint> ordered_at;
+        model::JobSpec spec;
+        model::TimePoint accepted_at{}, answered_at{};
+        std::optional<model::TimePoint> ordered_at;
         Seconds cancel_after{-1};
         bool accepted = false, over = false;
         UserConnection* user = nullptr;
     };
     using JobPtr = std::shared_ptr<Job>;
 
-    awaitable<void> arrivals(const emulator::JobClass& job_class);
-    awaitable<void> first_jobs(const emulator::JobClass& job_class);
+    awaitable<void> arrivals(const simulator::JobClass& job_class);
+    awaitable<void> first_jobs(const simulator::JobClass& job_class);
     // `left`: the share of its run time that is left to each of its tasks.
-    void new_job(const emulator::JobClass& job_class, double left);
+    void new_job(const simulator::JobClass& job_class, double left);
     awaitable<void> live(JobPtr job);
     awaitable<bool> submit(JobPtr job);
     awaitable<void> poll(JobPtr job);
     awaitable<void> cancel_later(JobPtr job);
     awaitable<net::HttpAnswer> ask(JobPtr job, net::http::verb verb, std::string target, std::string body,
-                                   wire::Clock::duration limit);
-    void told(const JobPtr& job, const net::HttpAnswer& answer, wire::TimePoint asked);
+                                   model::Clock::duration limit);
+    void told(const JobPtr& job, const net::HttpAnswer& answer, model::TimePoint asked);
     void note_start(Job& job);
 
     net::Executor ex_;
     const Plan& plan_;
-    emulator::Events& luck_;
+    simulator::Events& luck_;
     OrderedChecker& checker_;
     Upload upload_;
     LoadBalancer balancer_;
     std::vector<std::unique_ptr<UserConnection>> connections_;
     std::unordered_map<std::string, JobPtr> jobs_;
     std::uint64_t numbers_ = 0;
-    wire::TimePoint last_answer_{};
+    model::TimePoint last_answer_{};
     Counts counts_;
     Latencies submissions_, starts_, urgent_starts_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/worker_processes.cpp
+++ b/src/load_test/worker_processes.cpp
@@ -1,11 +1,11 @@
-#include "scale/worker_processes.hpp"
+#include "load_test/worker_processes.hpp"
 
 #include <iostream>
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 namespace asio = net::asio;
 
 namespace {
@@ -50,7 +50,8 @@
                 workers_[n].told_until = progress->now;
             }
         } catch (const std::exception& e) {
-            std::cerr << "flintdale_scale: a worker process said: " << line->substr(0, 200) << ": " << e.what() << '\n';
+            std::cerr << "flintdale_load_test: a worker process said: " << line->substr(0, 200) << ": " << e.what()
+                      << '\n';
             break;
         }
     }
@@ -103,4 +104,4 @@
     return out;
 }
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/scale/worker_processes.hpp
+++ b/src/load_test/worker_processes.hpp
@@ -2,12 +2,12 @@
 #pragma once
 #include <filesystem>
 
-#include "scale/line_channel.hpp"
-#include "scale/messages.hpp"
-#include "scale/plan.hpp"
-#include "scale/process.hpp"
+#include "load_test/line_channel.hpp"
+#include "load_test/messages.hpp"
+#include "load_test/plan.hpp"
+#include "load_test/process.hpp"
 
-namespace flintdale::scale {
+namespace flintdale::load_test {
 
 class WorkerProcesses {
   public:
@@ -44,4 +44,4 @@
     std::vector<Worker> workers_;
 };
 
-}  // namespace flintdale::scale
+}  // namespace flintdale::load_test
--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <string>
 
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
 namespace flintdale::net {
 
@@ -22,22 +22,22 @@
 // timers whenever it is polled.
 struct WaitTraits {
     // How long until the earliest timer of the reactor that asked last.
-    static inline thread_local wire::Clock::duration earliest{};
-    static wire::Clock::duration to_wait_duration(const wire::Clock::duration& d) {
-        if (!wire::Clock::emulated) return d;
+    static inline thread_local model::Clock::duration earliest{};
+    static model::Clock::duration to_wait_duration(const model::Clock::duration& d) {
+        if (!model::Clock::simulated) return d;
         earliest = d;
-        return wire::Clock::duration(0);
+        return model::Clock::duration(0);
     }
-    static wire::Clock::duration to_wait_duration(const wire::Clock::time_point& t) {
-        return to_wait_duration(t - wire::Clock::now());
+    static model::Clock::duration to_wait_duration(const model::Clock::time_point& t) {
+        return to_wait_duration(t - model::Clock::now());
     }
 };
-using Timer = asio::basic_waitable_timer<wire::Clock, WaitTraits>;
+using Timer = asio::basic_waitable_timer<model::Clock, WaitTraits>;
 
 inline constexpr auto quietly = asio::experimental::as_tuple(asio::use_awaitable);
 
 // Waits; false if the wait was cancelled.
-inline awaitable<bool> sleep_for(wire::Clock::duration d) {
+inline awaitable<bool> sleep_for(model::Clock::duration d) {
     auto ex = co_await asio::this_coro::executor;
     Timer timer(ex);
     timer.expires_after(d);
@@ -53,7 +53,7 @@
         pending_ = true;
         timer_.cancel();
     }
-    awaitable<void> wait(wire::Clock::duration most) {
+    awaitable<void> wait(model::Clock::duration most) {
         if (!pending_) {
             timer_.expires_after(most);
             auto [ec] = co_await timer_.async_wait(quietly);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,7 +14,7 @@
       keep_(keep),
       source_(std::move(source)) {}
 
-awaitable<std::unique_ptr<HttpClient::Stream>> HttpClient::connect(wire::Clock::duration limit) {
+awaitable<std::unique_ptr<HttpClient::Stream>> HttpClient::connect(model::Clock::duration limit) {
     auto stream = std::make_unique<Stream>(ex_);
     stream->expires_after(limit);
     if (!source_.empty()) {
@@ -31,11 +31,11 @@
 }
 
 awaitable<HttpAnswer> HttpClient::request(http::verb verb, std::string target, std::string body,
-                                          wire::Clock::duration limit) {
-    const auto until = wire::Clock::now() + limit;
+                                          model::Clock::duration limit) {
+    const auto until = model::Clock::now() + limit;
     HttpAnswer answer;
     std::unique_ptr<Stream> stream;
-    const auto now = wire::Clock::now();
+    const auto now = model::Clock::now();
     while (!idle_.empty() && !stream) {
         if (now - idle_.back().second < stale_after) stream = std::move(idle_.back().first);
         idle_.pop_back();
@@ -43,7 +43,7 @@
     bool reused = stream != nullptr;
     for (;;) {
         if (!stream) {
-            stream = co_await connect(until - wire::Clock::now());
+            stream = co_await connect(until - model::Clock::now());
             reused = false;
         }
         if (!stream) {
@@ -71,7 +71,7 @@
                 answer.body = std::move(parser.get().body());
                 if (parser.get().keep_alive() && idle_.size() < keep_) {
                     stream->expires_never();
-                    idle_.emplace_back(std::move(stream), wire::Clock::now());
+                    idle_.emplace_back(std::move(stream), model::Clock::now());
                 }
                 co_return answer;
             }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -3,6 +3,7 @@
 #include <memory>
 #include <vector>
 
+#include "model/clock.hpp"
 #include "net/asio.hpp"
 
 namespace flintdale::net {
@@ -19,19 +20,19 @@
     // `source`: the local address that connections are made from; empty: whichever the system takes.
     HttpClient(Executor ex, std::string host, std::uint16_t port, std::size_t keep = 8, std::string source = {});
 
-    awaitable<HttpAnswer> request(http::verb verb, std::string target, std::string body, wire::Clock::duration limit);
+    awaitable<HttpAnswer> request(http::verb verb, std::string target, std::string body, model::Clock::duration limit);
 
   private:
     using Stream = beast::tcp_stream;
 
-    awaitable<std::unique_ptr<Stream>> connect(wire::Clock::duration limit);
+    awaitable<std::unique_ptr<Stream>> connect(model::Clock::duration limit);
 
     Executor ex_;
     tcp::endpoint endpoint_;
     std::string host_;
     std::size_t keep_;
     std::string source_;
-    std::vector<std::pair<std::unique_ptr<Stream>, wire::Clock::time_point>> idle_;
+    std::vector<std::pair<std::unique_ptr<Stream>, model::Clock::time_point>> idle_;
 };
 
 }  // namespace flintdale::net
--- a/src/peer/cancellations.cpp
+++ b/src/peer/cancellations.cpp
@@ -4,7 +4,7 @@
 
 namespace flintdale::peer {
 
-using wire::TimePoint;
+using model::TimePoint;
 
 namespace {
 constexpr double spans = 5;                      // times cancel_s that a cancellation is named to the peers
@@ -16,7 +16,7 @@
 
 Cancellations::Cancellations(const config::Settings& settings) : settings_(settings) {}
 
-wire::Clock::duration Cancellations::span() const { return wire::to_clock(settings_.cancel * spans); }
+model::Clock::duration Cancellations::span() const { return model::to_clock(settings_.cancel * spans); }
 
 bool Cancellations::note(const std::string& uid, TimePoint now) {
     if (!known_.try_emplace(uid, now).second) return false;
@@ -24,7 +24,7 @@
     return true;
 }
 
-Word Cancellations::say(TimePoint now) {
+CancellationReport Cancellations::say(TimePoint now) {
     // What is named for the last time is remembered for as long again, so that no two peers go on telling each other.
     for (; !lately_.empty() && now - lately_.front().first > span(); lately_.pop_front())
         to_forget_.push_back(std::move(lately_.front()));
@@ -33,7 +33,7 @@
     if (lately_.size() > most_named) not_whole_until_ = now + span();
     for (; lately_.size() > most_named; lately_.pop_front()) to_forget_.push_back(std::move(lately_.front()));
     while (!said_.empty() && now - said_.front().second > answered_in) said_.pop_front();
-    Word out;
+    CancellationReport out;
     out.number = ++number_;
     said_.emplace_back(number_, now);
     for (const auto& [member, peer] : peers_) out.heard.push_back({member, peer.incarnation, peer.number});
@@ -43,18 +43,18 @@
 }
 
 void Cancellations::heard(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
-                          const Word& word, TimePoint now) {
-    if (!incarnation || !word.number) return;  // a version that does not say
+                          const CancellationReport& report, TimePoint now) {
+    if (!incarnation || !report.number) return;  // a version that does not say
     auto& peer = peers_[member];
     if (peer.incarnation != incarnation) {
         peer = {};
         peer.incarnation = incarnation;
         peer.incarnation_since = now;
     }
-    if (word.number < peer.number) return;
-    peer.number = word.number;
-    peer.whole = word.whole;
-    for (const auto& h : word.heard) {
+    if (report.number < peer.number) return;
+    peer.number = report.number;
+    peer.whole = report.whole;
+    for (const auto& h : report.heard) {
         if (h.member != settings_.member || h.incarnation != own_incarnation) continue;
         const auto at = std::lower_bound(said_.begin(), said_.end(), h.number,
                                          [](const auto& said, std::uint64_t n) { return said.first < n; });
