--- a/src/peer/cancellations.hpp
+++ b/src/peer/cancellations.hpp
@@ -17,12 +17,12 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
 namespace flintdale::peer {
 
 // What a message says of them.
-struct Word {
+struct CancellationReport {
     std::uint64_t number = 0;  // of the message in its sender's incarnation, from 1; 0: a version that does not say
     struct Heard {
         std::string member;
@@ -39,40 +39,40 @@
 
     // A job is known to be cancelled: its outcome was read, a peer said so, or a user is about to be told. False if
     // that was known.
-    bool note(const std::string& uid, wire::TimePoint now);
+    bool note(const std::string& uid, model::TimePoint now);
     bool knows(const std::string& uid) const { return known_.contains(uid); }
 
     // For a message to the peers, which must leave after this call.
-    Word say(wire::TimePoint now);
+    CancellationReport say(model::TimePoint now);
 
     // A message of a peer, of that incarnation of it: what it told has been noted already. `own_incarnation`: this
     // controller's.
-    void heard(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation, const Word& word,
-               wire::TimePoint now);
+    void heard(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
+               const CancellationReport& report, model::TimePoint now);
 
     // Whatever users were told before then is noted here, if all that was on record at `looked` is known.
-    wire::TimePoint known_at(wire::TimePoint looked, wire::TimePoint now) const;
+    model::TimePoint known_at(model::TimePoint looked, model::TimePoint now) const;
     // Whether the peer is known to have heard all that was noted here until then.
-    bool has_heard(const std::string& member, wire::TimePoint noted) const;
+    bool has_heard(const std::string& member, model::TimePoint noted) const;
     // For how long a peer names what it has learned.
-    wire::Clock::duration span() const;
+    model::Clock::duration span() const;
 
   private:
     struct Peer {
         std::uint64_t incarnation = 0, number = 0;  // newest heard of it
-        wire::TimePoint incarnation_since{};        // when that incarnation was first heard
-        wire::TimePoint answers{};                  // when the newest message left that it is known to have heard
+        model::TimePoint incarnation_since{};       // when that incarnation was first heard
+        model::TimePoint answers{};                 // when the newest message left that it is known to have heard
         bool whole = false;
     };
 
     const config::Settings& settings_;
-    std::unordered_map<std::string, wire::TimePoint> known_;         // when it was learned
-    std::deque<std::pair<wire::TimePoint, std::string>> lately_;     // in the order of time, named to the peers
-    std::deque<std::pair<wire::TimePoint, std::string>> to_forget_;  // no longer named, still known
-    std::deque<std::pair<std::uint64_t, wire::TimePoint>> said_;     // own messages, when they left
+    std::unordered_map<std::string, model::TimePoint> known_;         // when it was learned
+    std::deque<std::pair<model::TimePoint, std::string>> lately_;     // in the order of time, named to the peers
+    std::deque<std::pair<model::TimePoint, std::string>> to_forget_;  // no longer named, still known
+    std::deque<std::pair<std::uint64_t, model::TimePoint>> said_;     // own messages, when they left
     std::map<std::string, Peer> peers_;
     std::uint64_t number_ = 0;
-    wire::TimePoint not_whole_until_{};
+    model::TimePoint not_whole_until_{};
 };
 
 }  // namespace flintdale::peer
--- a/src/peer/report_relay.cpp
+++ b/src/peer/heartbeat_relay.cpp
@@ -1,29 +1,31 @@
-#include "peer/report_relay.hpp"
+#include "peer/heartbeat_relay.hpp"
+
+#include "model/heartbeat.hpp"
 
 namespace flintdale::peer {
 
 using namespace std::chrono_literals;
-using wire::Clock;
+using model::Clock;
 
 namespace {
 // A worker waits for four seconds, and its answer needs time for the way back.
 constexpr auto patience = 3400ms;
 constexpr std::size_t reports_a_socket = 2;  // remembered, for the workers that may be connected at once
 
-bool same_but_for_tick(const wire::WorkerReport& a, wire::WorkerReport b) {
-    b.tick = a.tick;
+bool same_but_for_tick(const model::Heartbeat& a, model::Heartbeat b) {
+    b.sequence = a.sequence;
     return a == b;
 }
 }  // namespace
 
-ReportRelay::ReportRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send)
+HeartbeatRelay::HeartbeatRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send)
     : ex_(ex), settings_(settings), incarnation_(incarnation), send_(std::move(send)) {
     outbox_ = std::make_shared<RelayOutbox>(
         ex_, [this](const RelayMessage& message) { return leader_ && send_(leader_->member, message); },
         [this](const RelayMessage& message) { not_sent(message); });
 }
 
-void ReportRelay::follow(const std::optional<Leader>& leader) {
+void HeartbeatRelay::follow(const std::optional<Leader>& leader) {
     if (leader != leader_) {
         // Another leader, or another term of it, has decided on nothing that was sent before.
         forget_sent();
@@ -33,44 +35,44 @@
     if (leader_) send_waiting();
 }
 
-void ReportRelay::link_lost(const std::string& member) {
+void HeartbeatRelay::link_lost(const std::string& member) {
     if (!leader_ || leader_->member != member) return;
     forget_sent();
 }
 
 // Whatever waits has to be sent anew, and in full.
-void ReportRelay::forget_sent() {
+void HeartbeatRelay::forget_sent() {
     held_.clear();
     for (auto& [number, waiting] : waiting_) waiting->sent = false;
 }
 
-void ReportRelay::send_waiting() {
+void HeartbeatRelay::send_waiting() {
     for (auto& [number, waiting] : waiting_)
         if (!waiting->sent) send(number, *waiting);
 }
 
-ReportRelay::Held& ReportRelay::held(const std::string& machine) {
+HeartbeatRelay::Held& HeartbeatRelay::held(const std::string& machine) {
     if (held_.size() > settings_.max_sockets * reports_a_socket) held_.clear();
     auto [it, fresh] = held_.try_emplace(machine);
     if (fresh) it->second.handle = ++handles_;
     return it->second;
 }
 
-void ReportRelay::send(std::uint64_t number, Waiting& waiting) {
+void HeartbeatRelay::send(std::uint64_t number, Waiting& waiting) {
     waiting.sent = true;
     auto& known = held(waiting.report.machine);
     if (known.report && same_but_for_tick(*known.report, waiting.report)) {
         waiting.full = known.full;
-        outbox_->add(RepeatedReport{number, known.handle, waiting.report.tick, known.full});
+        outbox_->add(RepeatedHeartbeat{number, known.handle, waiting.report.sequence, known.full});
         return;
     }
     // Not repeated before the leader is known to have this one.
     known.report.reset();
     waiting.full = number;
-    outbox_->add(RelayedReport{number, known.handle, waiting.report});
+    outbox_->add(RelayedHeartbeat{number, known.handle, waiting.report});
 }
 
-void ReportRelay::not_sent(const RelayMessage& message) {
+void HeartbeatRelay::not_sent(const RelayMessage& message) {
     const auto again = [&](std::uint64_t number) {
         if (const auto it = waiting_.find(number); it != waiting_.end()) it->second->sent = false;
     };
@@ -78,12 +80,12 @@
     for (const auto& r : message.repeated) again(r.number);
 }
 
-void ReportRelay::end(Waiting& waiting) {
+void HeartbeatRelay::end(Waiting& waiting) {
     waiting.over = true;
     waiting.timer.cancel();
 }
 
-void ReportRelay::answered(const RelayMessage& message, std::uint64_t newest_term) {
+void HeartbeatRelay::answered(const RelayMessage& message, std::uint64_t newest_term) {
     if (!leader_ || message.member != leader_->member || message.incarnation != leader_->incarnation ||
         message.to != incarnation_)
         return;
@@ -97,20 +99,20 @@
             continue;
         }
         // It may have won another term since it was last heard.
-        const bool current = answer.token >= leader_->term && answer.token >= newest_term;
+        const bool current = answer.fencing_token >= leader_->term && answer.fencing_token >= newest_term;
         if (answer.outcome == RelayOutcome::answered && current) {
             // Another report of this worker, a late copy perhaps, may have been sent meanwhile: what is repeated is
             // named.
             auto& known = held(waiting.report.machine);
             known.full = waiting.full;
             known.report = waiting.report;
-            waiting.answer = LeaderAnswer{answer.token, answer.orders};
+            waiting.answer = LeaderResponse{answer.fencing_token, answer.commands};
         }
         end(waiting);
     }
 }
 
-awaitable<std::optional<LeaderAnswer>> ReportRelay::relay(wire::WorkerReport report) {
+awaitable<std::optional<LeaderResponse>> HeartbeatRelay::relay(model::Heartbeat report) {
     if (waiting_.size() >= settings_.max_sockets) co_return std::nullopt;
     const auto number = ++numbers_;
     const auto waiting = std::make_shared<Waiting>(ex_, std::move(report));
--- a/src/peer/report_relay.hpp
+++ b/src/peer/heartbeat_relay.hpp
@@ -10,6 +10,8 @@
 #include <unordered_map>
 
 #include "config/settings.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
 #include "peer/relay_outbox.hpp"
 
 namespace flintdale::peer {
@@ -22,15 +24,15 @@
     bool operator==(const Leader&) const = default;
 };
 
-struct LeaderAnswer {
-    std::uint64_t token = 0;
-    std::vector<wire::Order> orders;
+struct LeaderResponse {
+    std::uint64_t fencing_token = 0;
+    std::vector<model::Command> commands;
 };
 
-class ReportRelay {
+class HeartbeatRelay {
   public:
     using Send = std::function<bool(const std::string& member, const RelayMessage&)>;
-    ReportRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send);
+    HeartbeatRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send);
 
     // Who leads, as heard from it just now; nothing: nobody that reports can be passed on to.
     void follow(const std::optional<Leader>& leader);
@@ -40,23 +42,23 @@
     void answered(const RelayMessage& message, std::uint64_t newest_term);
 
     // The leader's answer; nothing if it refuses, or none comes in time, or too many wait.
-    awaitable<std::optional<LeaderAnswer>> relay(wire::WorkerReport report);
+    awaitable<std::optional<LeaderResponse>> relay(model::Heartbeat report);
     std::size_t waiting() const { return waiting_.size(); }
 
   private:
     struct Waiting {
-        Waiting(net::Executor ex, wire::WorkerReport r) : report(std::move(r)), timer(ex) {}
-        wire::WorkerReport report;
+        Waiting(net::Executor ex, model::Heartbeat r) : report(std::move(r)), timer(ex) {}
+        model::Heartbeat report;
         net::Timer timer;
         bool sent = false, over = false;
         std::uint64_t full = 0;  // the number of the report in full that it was sent as
-        std::optional<LeaderAnswer> answer;
+        std::optional<LeaderResponse> answer;
     };
     // What the leader holds of a worker: the last report that was answered under that handle.
     struct Held {
         std::uint32_t handle = 0;
         std::uint64_t full = 0;  // the number with which that report was sent
-        std::optional<wire::WorkerReport> report;
+        std::optional<model::Heartbeat> report;
     };
     void send(std::uint64_t number, Waiting& waiting);
     void send_waiting();
--- a/src/peer/link.cpp
+++ b/src/peer/peer_connections.cpp
@@ -1,4 +1,4 @@
-#include "peer/link.hpp"
+#include "peer/peer_connections.hpp"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -23,89 +23,90 @@
 constexpr std::size_t max_counts = 4000;
 }  // namespace
 
-std::string encode(const Beat& beat) {
+std::string encode(const StatusMessage& status) {
     capnp::MallocMessageBuilder message;
-    auto b = message.initRoot<::Beat>();
-    b.setMember(beat.member);
-    b.setLeader(beat.leader);
-    b.setTerm(beat.term);
-    b.setStateOk(beat.state_ok);
-    b.setLeading(beat.leading);
-    b.setWrites(beat.writes);
-    b.setKnocks(beat.redirects);
-    b.setFormat(beat.format);
-    b.setGeneration(beat.generation);
-    b.setHistory(beat.history);
-    b.setRemembers(beat.remembers);
-    b.setRebuilding(beat.rebuilding);
-    b.setLife(beat.incarnation);
-    b.setNumber(beat.word.number);
-    b.setWhole(beat.word.whole);
-    b.setRelays(beat.relays);
-    b.setWorkers(beat.workers);
-    b.setCapacity(beat.capacity);
-    b.setFleet(beat.fleet);
-    auto heard = b.initHeard(static_cast<unsigned>(beat.word.heard.size()));
+    auto b = message.initRoot<::StatusMessage>();
+    b.setMember(status.member);
+    b.setLeader(status.leader);
+    b.setTerm(status.term);
+    b.setStoreHealthy(status.state_ok);
+    b.setLeading(status.leading);
+    b.setWrites(status.writes);
+    b.setRedirects(status.redirects);
+    b.setFormat(status.format);
+    b.setGeneration(status.generation);
+    b.setHistory(status.history);
+    b.setRemembers(status.remembers);
+    b.setRebuilding(status.rebuilding);
+    b.setIncarnation(status.incarnation);
+    b.setNumber(status.cancellations.number);
+    b.setWhole(status.cancellations.whole);
+    b.setRelays(status.relays);
+    b.setWorkers(status.workers);
+    b.setCapacity(status.capacity);
+    b.setFleet(status.fleet);
+    auto heard = b.initHeard(static_cast<unsigned>(status.cancellations.heard.size()));
     for (unsigned i = 0; i < heard.size(); ++i) {
-        heard[i].setMember(beat.word.heard[i].member);
-        heard[i].setLife(beat.word.heard[i].incarnation);
-        heard[i].setNumber(beat.word.heard[i].number);
+        heard[i].setMember(status.cancellations.heard[i].member);
+        heard[i].setIncarnation(status.cancellations.heard[i].incarnation);
+        heard[i].setNumber(status.cancellations.heard[i].number);
     }
-    auto cancelled = b.initCancelled(static_cast<unsigned>(beat.word.lately.size()));
-    for (unsigned i = 0; i < cancelled.size(); ++i) cancelled.set(i, beat.word.lately[i]);
-    const auto n = std::min(beat.counts.size(), max_counts);
+    auto cancelled = b.initCancelled(static_cast<unsigned>(status.cancellations.lately.size()));
+    for (unsigned i = 0; i < cancelled.size(); ++i) cancelled.set(i, status.cancellations.lately[i]);
+    const auto n = std::min(status.counts.size(), max_counts);
     auto counts = b.initCounts(static_cast<unsigned>(n));
     for (unsigned i = 0; i < n; ++i) {
-        counts[i].setUid(beat.counts[i].uid);
-        counts[i].setDone(beat.counts[i].done);
-        counts[i].setRunning(beat.counts[i].running);
+        counts[i].setUid(status.counts[i].uid);
+        counts[i].setDone(status.counts[i].done);
+        counts[i].setRunning(status.counts[i].running);
     }
     const auto words = capnp::messageToFlatArray(message);
     const auto bytes = words.asBytes();
     return std::string(reinterpret_cast<const char*>(bytes.begin()), bytes.size());
 }
 
-Beat decode(const std::string& bytes) {
+StatusMessage decode(const std::string& bytes) {
     std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
     std::memcpy(words.data(), bytes.data(), words.size() * sizeof(capnp::word));
     try {
         capnp::FlatArrayMessageReader reader(kj::arrayPtr(words.data(), words.size()));
-        const auto b = reader.getRoot<::Beat>();
-        Beat beat;
-        beat.member = b.getMember().cStr();
-        beat.leader = b.getLeader().cStr();
-        beat.term = b.getTerm();
-        beat.state_ok = b.getStateOk();
-        beat.leading = b.getLeading();
-        beat.writes = b.getWrites();
-        beat.redirects = b.getKnocks();
-        beat.format = b.getFormat();
-        beat.generation = b.getGeneration();
-        beat.history = b.getHistory().cStr();
-        beat.remembers = b.getRemembers();
-        beat.rebuilding = b.getRebuilding();
-        beat.incarnation = b.getLife();
-        beat.relays = b.getRelays();
-        beat.workers = b.getWorkers();
-        beat.capacity = b.getCapacity();
-        beat.fleet = b.getFleet();
-        beat.word.number = b.getNumber();
-        beat.word.whole = b.getWhole();
-        for (const auto h : b.getHeard()) beat.word.heard.push_back({h.getMember().cStr(), h.getLife(), h.getNumber()});
-        for (const auto uid : b.getCancelled()) beat.word.lately.emplace_back(uid.cStr());
-        for (const auto c : b.getCounts()) beat.counts.push_back({c.getUid().cStr(), c.getDone(), c.getRunning()});
-        return beat;
+        const auto b = reader.getRoot<::StatusMessage>();
+        StatusMessage status;
+        status.member = b.getMember().cStr();
+        status.leader = b.getLeader().cStr();
+        status.term = b.getTerm();
+        status.state_ok = b.getStoreHealthy();
+        status.leading = b.getLeading();
+        status.writes = b.getWrites();
+        status.redirects = b.getRedirects();
+        status.format = b.getFormat();
+        status.generation = b.getGeneration();
+        status.history = b.getHistory().cStr();
+        status.remembers = b.getRemembers();
+        status.rebuilding = b.getRebuilding();
+        status.incarnation = b.getIncarnation();
+        status.relays = b.getRelays();
+        status.workers = b.getWorkers();
+        status.capacity = b.getCapacity();
+        status.fleet = b.getFleet();
+        status.cancellations.number = b.getNumber();
+        status.cancellations.whole = b.getWhole();
+        for (const auto h : b.getHeard())
+            status.cancellations.heard.push_back({h.getMember().cStr(), h.getIncarnation(), h.getNumber()});
+        for (const auto uid : b.getCancelled()) status.cancellations.lately.emplace_back(uid.cStr());
+        for (const auto c : b.getCounts()) status.counts.push_back({c.getUid().cStr(), c.getDone(), c.getRunning()});
+        return status;
     } catch (const kj::Exception& e) {
         throw std::runtime_error(e.getDescription().cStr());
     }
 }
 
-Links::Links(net::Executor ex, const config::Settings& settings, Receive receive)
+PeerConnections::PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive)
     : ex_(ex), acceptor_(ex), settings_(settings), receive_(std::move(receive)) {
     net::listen_when_free(acceptor_, settings.peer_listen.host, settings.peer_listen.port, 64);
 }
 
-void Links::start() {
+void PeerConnections::start() {
     asio::co_spawn(ex_, accept_loop(), asio::detached);
     for (const auto& peer : settings_.peers) {
         outs_.push_back(std::make_shared<Out>(ex_, peer.member));
@@ -113,25 +114,25 @@
     }
 }
 
-std::string Links::frame(Frame kind, const std::string& bytes) {
+std::string PeerConnections::frame(Frame kind, const std::string& bytes) {
     std::string out(head_size, '\0');
     for (std::size_t i = 0; i + 1 < head_size; ++i) out[i] = static_cast<char>(bytes.size() >> (8 * i));
     out[head_size - 1] = static_cast<char>(kind);
     return out + bytes;
 }
 
-void Links::tell(const Beat& beat) {
+void PeerConnections::tell(const StatusMessage& status) {
     if (outs_.empty()) return;
-    const auto sending = frame(Frame::beat, encode(beat));
+    const auto sending = frame(Frame::status, encode(status));
     for (const auto& out : outs_) {
         if (!out->connected) continue;
         // A peer that does not read gets the newest only.
-        if (out->beats.bytes.size() + sending.size() > max_frame) out->beats.clear();
-        out->add(out->beats, sending);
+        if (out->status_messages.bytes.size() + sending.size() > max_frame) out->status_messages.clear();
+        out->add(out->status_messages, sending);
     }
 }
 
-bool Links::relay(const std::string& member, const RelayMessage& message) {
+bool PeerConnections::relay(const std::string& member, const RelayMessage& message) {
     const auto at = std::find_if(outs_.begin(), outs_.end(), [&](const auto& out) { return out->member == member; });
     if (at == outs_.end() || !(*at)->connected) return false;
     const auto sending = frame(Frame::relay, encode(message));
@@ -140,7 +141,7 @@
     return true;
 }
 
-awaitable<void> Links::dial_loop(config::Peer peer, std::shared_ptr<Out> out) {
+awaitable<void> PeerConnections::dial_loop(config::Peer peer, std::shared_ptr<Out> out) {
     const net::tcp::endpoint endpoint(asio::ip::make_address(peer.addr.host), peer.addr.port);
     for (;;) {
         beast::tcp_stream stream(ex_);
@@ -152,7 +153,7 @@
             out->connected = true;
             co_await send_loop(stream, *out);
             out->connected = false;
-            out->beats.clear();
+            out->status_messages.clear();
             out->relayed.clear();
             if (receive_.lost) receive_.lost(out->member);
         }
@@ -161,14 +162,14 @@
 }
 
 // Returns when the connection has broken.
-awaitable<void> Links::send_loop(beast::tcp_stream& stream, Out& out) {
+awaitable<void> PeerConnections::send_loop(beast::tcp_stream& stream, Out& out) {
     for (;;) {
         co_await out.wake.wait(30s);
         std::string sending, relayed;
-        sending.swap(out.beats.bytes);
+        sending.swap(out.status_messages.bytes);
         relayed.swap(out.relayed.bytes);
         if (sending.empty() && relayed.empty()) continue;
-        std::string receipts(std::exchange(out.beats.frames, 0) + std::exchange(out.relayed.frames, 0), '\0');
+        std::string receipts(std::exchange(out.status_messages.frames, 0) + std::exchange(out.relayed.frames, 0), '\0');
         sending += relayed;
         stream.expires_after(3s);
         auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::quietly);
@@ -180,7 +181,7 @@
     }
 }
 
-awaitable<void> Links::accept_loop() {
+awaitable<void> PeerConnections::accept_loop() {
     for (;;) {
         auto [ec, socket] = co_await acceptor_.async_accept(net::quietly);
         if (ec) {
@@ -192,17 +193,17 @@
     }
 }
 
-void Links::received(Frame kind, const std::string& body, std::uint64_t connection) {
+void PeerConnections::received(Frame kind, const std::string& body, std::uint64_t connection) {
     if (kind == Frame::relay) {
         if (receive_.relay) receive_.relay(decode_relay(body));
         return;
     }
-    auto beat = decode(body);
-    beat.connection = connection;
-    receive_.beat(beat);
+    auto status = decode(body);
+    status.connection = connection;
+    receive_.status(status);
 }
 
-awaitable<void> Links::session(net::tcp::socket socket) {
+awaitable<void> PeerConnections::session(net::tcp::socket socket) {
     ++sessions_;
     const auto connection = ++accepted_;
     // A receipt must not wait until the one before it is acknowledged.
--- a/src/peer/link.hpp
+++ b/src/peer/peer_connections.hpp
@@ -12,47 +12,47 @@
 
 using net::awaitable;
 
-struct Count {
+struct JobCount {
     std::string uid;
     std::uint32_t done = 0, running = 0;
 };
 
-struct Beat {
+struct StatusMessage {
     std::string member, leader;
     std::uint64_t term = 0;
     bool state_ok = false, leading = false;
     double writes = 0;            // to the state service, that it lately asked for
     std::uint32_t redirects = 0;  // reports that it turned away to the leader since its last message
     std::uint32_t format = 0;     // that it knows every controller to read
-    // What it remembers of the records of jobs: see recovery::Keeper.
+    // What it remembers of the records of jobs: see recovery::RecoveryCoordinator.
     std::uint64_t generation = 0, remembers = 0, rebuilding = 0;
     std::string history;
-    std::vector<Count> counts;
+    std::vector<JobCount> counts;
     // Relays (app::WorkerAssignment): whether it takes part, the workers that report to it and that may, and, from the
     // leader, the machines that it knows of.
     bool relays = false;
     std::uint32_t workers = 0, capacity = 0, fleet = 0;
-    Word word;                      // of cancellations
+    CancellationReport cancellations;
     std::uint64_t incarnation = 0;  // of the sender: each time that it is started another; 0 from versions without
     std::uint64_t connection = 0;   // not on the wire: which of those accepted here it came on
 };
 
-std::string encode(const Beat& beat);
-Beat decode(const std::string& bytes);  // throws on nonsense
+std::string encode(const StatusMessage& status);
+StatusMessage decode(const std::string& bytes);  // throws on nonsense
 
-class Links {
+class PeerConnections {
   public:
     struct Receive {
-        std::function<void(const Beat&)> beat;
+        std::function<void(const StatusMessage&)> status;
         std::function<void(const RelayMessage&)> relay;
         std::function<void(const std::string& member)> lost;  // what was sent to it last may not have come
     };
-    Links(net::Executor ex, const config::Settings& settings, Receive receive);
+    PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive);
     void start();
     // Sends it to that controller; false if it cannot be reached now, or too much waits for it already.
     bool relay(const std::string& member, const RelayMessage& message);
     // Says it to every peer that can be reached now; nothing is kept for those that cannot.
-    void tell(const Beat& beat);
+    void tell(const StatusMessage& status);
 
   private:
     struct Out {
@@ -67,7 +67,7 @@
                 frames = 0;
             }
         };
-        Queue beats, relayed;
+        Queue status_messages, relayed;
         bool connected = false;
         void add(Queue& queue, const std::string& frame) {
             queue.bytes += frame;
@@ -75,7 +75,7 @@
             wake.notify();
         }
     };
-    enum class Frame : std::uint8_t { beat = 0, relay = 1 };
+    enum class Frame : std::uint8_t { status = 0, relay = 1 };
     static std::string frame(Frame kind, const std::string& bytes);
     void received(Frame kind, const std::string& body, std::uint64_t connection);
     awaitable<void> send_loop(net::beast::tcp_stream& stream, Out& out);
--- a/src/peer/relay_message.cpp
+++ b/src/peer/relay_message.cpp
@@ -7,6 +7,7 @@
 #include <cstring>
 #include <stdexcept>
 
+#include "model/task.hpp"
 #include "wire/relay.capnp.h"
 
 namespace flintdale::peer {
@@ -21,7 +22,7 @@
     return static_cast<E>(value);
 }
 
-void write(const RelayedReport& from, ::RelayedReport::Builder to) {
+void write(const RelayedHeartbeat& from, ::RelayedHeartbeat::Builder to) {
     const auto& r = from.report;
     to.setNumber(from.number);
     to.setHandle(from.handle);
@@ -30,10 +31,10 @@
     to.setType(r.type);
     to.setZone(r.zone);
     to.setSpot(r.spot);
-    to.setTenure(r.tenure);
-    to.setTick(r.tick);
-    to.setToken(r.token);
-    to.setNoticeS(r.notice ? r.notice->count() : no_notice);
+    to.setIncarnation(r.incarnation);
+    to.setSequence(r.sequence);
+    to.setFencingToken(r.fencing_token);
+    to.setTerminationNoticeS(r.termination_notice ? r.termination_notice->count() : no_notice);
     auto tasks = to.initTasks(static_cast<unsigned>(r.tasks.size()));
     for (unsigned i = 0; i < tasks.size(); ++i) {
         const auto& t = r.tasks[i];
@@ -41,13 +42,13 @@
         tasks[i].setIndex(t.id.index);
         tasks[i].setAttempt(t.attempt);
         tasks[i].setStatus(static_cast<std::uint8_t>(t.status));
-        tasks[i].setCause(static_cast<std::uint8_t>(t.cause));
-        tasks[i].setSaved(t.saved);
+        tasks[i].setExitReason(static_cast<std::uint8_t>(t.exit_reason));
+        tasks[i].setCheckpointed(t.checkpointed);
     }
 }
 
-RelayedReport read(::RelayedReport::Reader from) {
-    RelayedReport out;
+RelayedHeartbeat read(::RelayedHeartbeat::Reader from) {
+    RelayedHeartbeat out;
     out.number = from.getNumber();
     out.handle = from.getHandle();
     auto& r = out.report;
@@ -56,50 +57,50 @@
     r.type = from.getType().cStr();
     r.zone = from.getZone().cStr();
     r.spot = from.getSpot();
-    r.tenure = from.getTenure();
-    r.tick = from.getTick();
-    r.token = from.getToken();
-    if (from.getNoticeS() >= 0) r.notice = wire::Seconds(from.getNoticeS());
+    r.incarnation = from.getIncarnation();
+    r.sequence = from.getSequence();
+    r.fencing_token = from.getFencingToken();
+    if (from.getTerminationNoticeS() >= 0) r.termination_notice = model::Seconds(from.getTerminationNoticeS());
     const auto tasks = from.getTasks();
     r.tasks.reserve(tasks.size());
     for (const auto t : tasks) {
-        wire::TaskReport task;
+        model::TaskReport task;
         task.id = {t.getUid().cStr(), t.getIndex()};
         task.attempt = t.getAttempt();
-        task.status = checked(t.getStatus(), wire::TaskStatus::exited, "status");
-        task.cause = checked(t.getCause(), wire::Cause::unknown, "cause");
-        task.saved = t.getSaved();
+        task.status = checked(t.getStatus(), model::TaskStatus::exited, "status");
+        task.exit_reason = checked(t.getExitReason(), model::ExitReason::unknown_task, "cause");
+        task.checkpointed = t.getCheckpointed();
         r.tasks.push_back(std::move(task));
     }
     return out;
 }
 
-void write(const RelayedAnswer& from, ::RelayedAnswer::Builder to) {
+void write(const RelayedResponse& from, ::RelayedResponse::Builder to) {
     to.setNumber(from.number);
     to.setOutcome(static_cast<std::uint8_t>(from.outcome));
-    to.setToken(from.token);
-    if (from.orders.empty()) return;
-    auto orders = to.initOrders(static_cast<unsigned>(from.orders.size()));
-    for (unsigned i = 0; i < orders.size(); ++i) {
-        const auto& o = from.orders[i];
-        orders[i].setVerb(static_cast<std::uint8_t>(o.verb));
-        orders[i].setUid(o.id.uid);
-        orders[i].setIndex(o.id.index);
-        orders[i].setAttempt(o.attempt);
-        orders[i].setGraceS(o.grace.count());
+    to.setFencingToken(from.fencing_token);
+    if (from.commands.empty()) return;
+    auto commands = to.initCommands(static_cast<unsigned>(from.commands.size()));
+    for (unsigned i = 0; i < commands.size(); ++i) {
+        const auto& o = from.commands[i];
+        commands[i].setType(static_cast<std::uint8_t>(o.type));
+        commands[i].setUid(o.id.uid);
+        commands[i].setIndex(o.id.index);
+        commands[i].setAttempt(o.attempt);
+        commands[i].setGracePeriodS(o.grace_period.count());
     }
 }
 
-RelayedAnswer read(::RelayedAnswer::Reader from) {
-    RelayedAnswer out;
+RelayedResponse read(::RelayedResponse::Reader from) {
+    RelayedResponse out;
     out.number = from.getNumber();
     out.outcome = checked(from.getOutcome(), RelayOutcome::unknown_handle, "outcome");
-    out.token = from.getToken();
-    for (const auto o : from.getOrders())
-        out.orders.push_back({checked(o.getVerb(), wire::Verb::clear, "verb"),
-                              {o.getUid().cStr(), o.getIndex()},
-                              o.getAttempt(),
-                              wire::Seconds(o.getGraceS())});
+    out.fencing_token = from.getFencingToken();
+    for (const auto o : from.getCommands())
+        out.commands.push_back({checked(o.getType(), model::CommandType::clear, "verb"),
+                                {o.getUid().cStr(), o.getIndex()},
+                                o.getAttempt(),
+                                model::Seconds(o.getGracePeriodS())});
     return out;
 }
 
@@ -117,7 +118,7 @@
     for (unsigned i = 0; i < repeated.size(); ++i) {
         repeated[i].setNumber(from.repeated[i].number);
         repeated[i].setHandle(from.repeated[i].handle);
-        repeated[i].setTick(from.repeated[i].tick);
+        repeated[i].setSequence(from.repeated[i].sequence);
         repeated[i].setFull(from.repeated[i].full);
     }
     auto answers = to.initAnswers(static_cast<unsigned>(from.answers.size()));
@@ -139,7 +140,7 @@
         out.to = from.getTo();
         for (const auto r : from.getReports()) out.reports.push_back(read(r));
         for (const auto r : from.getRepeated())
-            out.repeated.push_back({r.getNumber(), r.getHandle(), r.getTick(), r.getFull()});
+            out.repeated.push_back({r.getNumber(), r.getHandle(), r.getSequence(), r.getFull()});
         for (const auto a : from.getAnswers()) out.answers.push_back(read(a));
         return out;
     } catch (const kj::Exception& e) {
--- a/src/peer/relay_message.hpp
+++ b/src/peer/relay_message.hpp
@@ -3,21 +3,22 @@
 #include <string>
 #include <vector>
 
-#include "wire/types.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
 
 namespace flintdale::peer {
 
-struct RelayedReport {
+struct RelayedHeartbeat {
     std::uint64_t number = 0;  // of the sender's incarnation; the answer bears it
     std::uint32_t handle = 0;  // under which this report may be repeated
-    wire::WorkerReport report;
+    model::Heartbeat report;
 };
 
 // The worker reports the same as under that handle, but for its tick.
-struct RepeatedReport {
+struct RepeatedHeartbeat {
     std::uint64_t number = 0;
     std::uint32_t handle = 0;
-    std::uint64_t tick = 0;
+    std::uint64_t sequence = 0;
     std::uint64_t full = 0;  // the number of the report that is meant
 };
 
@@ -27,20 +28,20 @@
     unknown_handle,  // the report has to be sent in full
 };
 
-struct RelayedAnswer {
+struct RelayedResponse {
     std::uint64_t number = 0;
     RelayOutcome outcome = RelayOutcome::refused;
-    std::uint64_t token = 0;
-    std::vector<wire::Order> orders;
+    std::uint64_t fencing_token = 0;
+    std::vector<model::Command> commands;
 };
 
 struct RelayMessage {
     std::string member;             // who sends
     std::uint64_t incarnation = 0;  // of the sender
     std::uint64_t to = 0;           // incarnation of the receiver that is meant
-    std::vector<RelayedReport> reports;
-    std::vector<RepeatedReport> repeated;
-    std::vector<RelayedAnswer> answers;
+    std::vector<RelayedHeartbeat> reports;
+    std::vector<RepeatedHeartbeat> repeated;
+    std::vector<RelayedResponse> answers;
     bool empty() const { return reports.empty() && repeated.empty() && answers.empty(); }
 };
 
--- a/src/peer/relay_outbox.cpp
+++ b/src/peer/relay_outbox.cpp
@@ -2,7 +2,7 @@
 
 namespace flintdale::peer {
 
-using wire::Clock;
+using model::Clock;
 
 namespace {
 constexpr std::chrono::milliseconds window{20};
@@ -23,19 +23,19 @@
     gathered_.to = to;
 }
 
-void RelayOutbox::add(RelayedReport report) {
+void RelayOutbox::add(RelayedHeartbeat report) {
     const auto bytes = report_bytes + task_bytes * report.report.tasks.size();
     gathered_.reports.push_back(std::move(report));
     added(bytes);
 }
 
-void RelayOutbox::add(const RepeatedReport& report) {
+void RelayOutbox::add(const RepeatedHeartbeat& report) {
     gathered_.repeated.push_back(report);
     added(repeated_bytes);
 }
 
-void RelayOutbox::add(RelayedAnswer answer) {
-    const auto bytes = answer_bytes + order_bytes * answer.orders.size();
+void RelayOutbox::add(RelayedResponse answer) {
+    const auto bytes = answer_bytes + order_bytes * answer.commands.size();
     gathered_.answers.push_back(std::move(answer));
     added(bytes);
 }
--- a/src/peer/relay_outbox.hpp
+++ b/src/peer/relay_outbox.hpp
@@ -4,6 +4,7 @@
 #include <functional>
 #include <memory>
 
+#include "model/clock.hpp"
 #include "net/asio.hpp"
 #include "peer/relay_message.hpp"
 
@@ -19,21 +20,21 @@
 
     // From whom and to which incarnation; what was gathered for another one is dropped.
     void address(const std::string& member, std::uint64_t incarnation, std::uint64_t to);
-    void add(RelayedReport report);
-    void add(const RepeatedReport& report);
-    void add(RelayedAnswer answer);
+    void add(RelayedHeartbeat report);
+    void add(const RepeatedHeartbeat& report);
+    void add(RelayedResponse answer);
 
   private:
     void added(std::size_t bytes);
     void flush();
-    net::awaitable<void> flush_later(wire::Clock::duration in);
+    net::awaitable<void> flush_later(model::Clock::duration in);
 
     net::Executor ex_;
     Send send_;
     Failed failed_;
     RelayMessage gathered_;
     std::size_t bytes_ = 0;  // of what is gathered, about
-    wire::TimePoint flushed_{};
+    model::TimePoint flushed_{};
     bool waiting_ = false;
 };
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -63,7 +63,7 @@
 bool JobHosts::excludes(Id slot) const { return std::find(excluded.begin(), excluded.end(), slot) != excluded.end(); }
 
 Ask make_ask(const JobSpec& spec, const Rules& rules, Directory& directory) {
-    Ask ask{&spec, directory.image(spec.image), spec.rank, {}};
+    Ask ask{&spec, directory.image(spec.image), spec.priority, {}};
     for (const auto& p : directory.pools()) ask.pools.push_back(allowed(spec, rules, p.type, p.zone, p.spot));
     return ask;
 }
@@ -124,12 +124,12 @@
 bool Planner::candidate(const Ask& ask, const JobHosts& job, const Host& host) const {
     const auto& spec = *ask.spec;
     if (!ask.takes(host.pool) || !fits(spec.need, host.free)) return false;
-    if (host.held_for && ask.rank <= *host.held_for) return false;
+    if (host.held_for && ask.priority <= *host.held_for) return false;
     // The margin is for what else the machine holds. An empty machine needs none, or a task that fills a machine
     // could never run.
     if (host.load > 0 && host.free.memory_gb + slack < spec.need.memory_gb * (1 + margin_)) return false;
     // Fetches share the machine's rate: one more would hold up the more important task that waits for its own.
-    if (ask.rank < host.fetching_for && !host.fetching.empty() && !host.has(ask.image) && !host.fetches(ask.image))
+    if (ask.priority < host.fetching_for && !host.fetching.empty() && !host.has(ask.image) && !host.fetches(ask.image))
         return false;
     if (spec.one_zone)
         for (Id zone = 0; zone < job.per_zone.size(); ++zone)
@@ -151,11 +151,11 @@
 // then those where its image is there soonest (in coarse steps, so that load still counts), then spot ones, which not
 // every job may use, then the least loaded. Services stay for good, so they go to large machines and leave whole small
 // ones to gangs.
-Planner::Order Planner::order(const Ask& ask, std::size_t i) const {
+Planner::Score Planner::score(const Ask& ask, std::size_t i) const {
     const auto& h = hosts_[i];
-    Order o;
-    o.risky = h.spot && ask.rank >= wire::Rank::high;
-    const bool service = ask.spec->shape == wire::Shape::service;
+    Score o;
+    o.risky = h.spot && ask.priority >= model::Priority::high;
+    const bool service = ask.spec->kind == model::JobKind::service;
     o.foreign = !service && own_[i] != epoch_;
     o.shared = service && own_[i] == epoch_;
     if (ask.spec->need.gpus <= slack) o.idles = static_cast<int>(h.free.gpus + slack);
@@ -172,7 +172,7 @@
     auto& host = hosts_[i];
     if (!host.has(ask.image)) {
         if (!host.fetches(ask.image)) host.fetching.push_back({ask.image, ask.spec->image_gb});
-        host.fetching_for = std::max(host.fetching_for, ask.rank);
+        host.fetching_for = std::max(host.fetching_for, ask.priority);
     }
     job.add_to_zone(host.zone);
     job.own.push_back(host.slot);
@@ -181,10 +181,10 @@
 
 std::size_t Planner::peek(const Ask& ask, const JobHosts& job) const {
     mark(job);
-    std::optional<Order> best;
+    std::optional<Score> best;
     each_roomy(ask.spec->need, [&](std::size_t i) {
         if (excluded_[i] == epoch_ || !candidate(ask, job, hosts_[i])) return;
-        if (const auto o = order(ask, i); !best || o < *best) best = o;
+        if (const auto o = score(ask, i); !best || o < *best) best = o;
     });
     return best ? best->at : none;
 }
@@ -202,13 +202,13 @@
     std::vector<std::size_t> out;
     if (count == 0) return out;
     mark(job);
-    std::vector<Order> heap;
+    std::vector<Score> heap;
     each_roomy(ask.spec->need, [&](std::size_t i) {
         if (excluded_[i] == epoch_ || (only_zone && hosts_[i].zone != *only_zone) || !candidate(ask, job, hosts_[i]))
             return;
-        heap.push_back(order(ask, i));
+        heap.push_back(score(ask, i));
     });
-    const auto later = [](const Order& a, const Order& b) { return b < a; };
+    const auto later = [](const Score& a, const Score& b) { return b < a; };
     std::make_heap(heap.begin(), heap.end(), later);
     while (out.size() < count && !heap.empty()) {
         std::pop_heap(heap.begin(), heap.end(), later);
@@ -218,7 +218,7 @@
         put(i, ask, job);
         out.push_back(i);
         if (candidate(ask, job, hosts_[i])) {
-            heap.push_back(order(ask, i));
+            heap.push_back(score(ask, i));
             std::push_heap(heap.begin(), heap.end(), later);
         }
     }
@@ -307,12 +307,12 @@
     }
     count = std::min(count, choices.size());
     std::nth_element(choices.begin(), choices.begin() + static_cast<std::ptrdiff_t>(count - 1), choices.end());
-    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].held_for = ask.rank;
+    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].held_for = ask.priority;
 }
 
 bool before(const Waiting& a, const Waiting& b, double ageing) {
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
-    if (a.rank != b.rank) return a.rank > b.rank;
+    if (a.priority != b.priority) return a.priority > b.priority;
     if (a.window != b.window) return a.window < b.window;
     const auto la = a.length - ageing * a.waited, lb = b.length - ageing * b.waited;
     if (la != lb) return la < lb;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -7,14 +7,16 @@
 #include <string>
 #include <vector>
 
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "model/resources.hpp"
 #include "placement/directory.hpp"
-#include "wire/types.hpp"
 
 namespace flintdale::placement {
 
-using wire::JobSpec;
-using wire::Resources;
-using wire::Seconds;
+using model::JobSpec;
+using model::Resources;
+using model::Seconds;
 
 bool fits(const Resources& need, const Resources& free);
 // How many such tasks a machine of that capacity holds.
@@ -34,12 +36,12 @@
     bool spot = false;
     unsigned load = 0;  // tasks assigned
     Resources capacity, free;
-    Resources standing;                                 // what services hold, which do not end by themselves
-    double fetch_gb_per_s = 0;                          // shared by all that it fetches
-    wire::Rank fetching_for = wire::Rank::idle;         // the highest rank that waits for an image
-    std::optional<wire::Rank> held_for;                 // its room is kept for a gang of this rank
-    boost::container::small_vector<Id, 8> images;       // that it holds
-    boost::container::small_vector<Fetch, 2> fetching;  // images that tasks there still wait for
+    Resources standing;                                    // what services hold, which do not end by themselves
+    double fetch_gb_per_s = 0;                             // shared by all that it fetches
+    model::Priority fetching_for = model::Priority::idle;  // the highest rank that waits for an image
+    std::optional<model::Priority> held_for;               // its room is kept for a gang of this rank
+    boost::container::small_vector<Id, 8> images;          // that it holds
+    boost::container::small_vector<Fetch, 2> fetching;     // images that tasks there still wait for
 
     bool has(Id image) const;
     bool fetches(Id image) const;
@@ -74,8 +76,8 @@
 struct Ask {
     const JobSpec* spec = nullptr;
     Id image = 0;
-    wire::Rank rank = wire::Rank::normal;  // which it may have from jobs that need it
-    std::vector<char> pools;               // by the pool's number: whether its machines are allowed
+    model::Priority priority = model::Priority::normal;  // which it may have from jobs that need it
+    std::vector<char> pools;                             // by the pool's number: whether its machines are allowed
 
     bool takes(Id pool) const { return pool < pools.size() && pools[pool]; }
 };
@@ -143,7 +145,7 @@
 
   private:
     // Lowest wins.
-    struct Order {
+    struct Score {
         bool risky = false;    // may be taken away, and the task is urgent
         bool foreign = false;  // not one of the job's own machines
         int idles = 0;         // accelerators that would lie idle there while the task holds what goes with them
@@ -153,7 +155,7 @@
         bool shared = false;  // holds a replica of the same service already
         unsigned load = 0;
         std::size_t at = 0;
-        auto operator<=>(const Order&) const = default;
+        auto operator<=>(const Score&) const = default;
     };
 
     // A way to place all tasks of a gang.
@@ -163,7 +165,7 @@
     };
 
     bool candidate(const Ask& ask, const JobHosts& job, const Host& host) const;
-    Order order(const Ask& ask, std::size_t i) const;
+    Score score(const Ask& ask, std::size_t i) const;
     // Notes which rows are the job's own and which are excluded, for the scans that follow.
     void mark(const JobHosts& job) const;
     void put(std::size_t i, const Ask& ask, JobHosts& job);
@@ -182,7 +184,7 @@
 // The order of the queue: what a team is guaranteed, then rank, then window, then length less what the wait has worn
 // off it.
 struct Waiting {
-    wire::Rank rank = wire::Rank::normal;
+    model::Priority priority = model::Priority::normal;
     std::int64_t window = 0;
     Seconds length{0}, waited{0};
     std::string_view uid;
--- a/src/quota/ledger.cpp
+++ b/src/quota/quota_accounting.cpp
@@ -1,4 +1,4 @@
-#include "quota/ledger.hpp"
+#include "quota/quota_accounting.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -13,7 +13,7 @@
 double lower(double a, double b) { return a <= 0 ? b : b <= 0 ? a : std::min(a, b); }
 Amount lower(const Amount& a, const Amount& b) { return {lower(a.cpus, b.cpus), lower(a.gpus, b.gpus)}; }
 
-Amount of(const wire::Resources& r, double times = 1) { return {r.cpus * times, r.gpus * times}; }
+Amount of(const model::Resources& r, double times = 1) { return {r.cpus * times, r.gpus * times}; }
 
 // Whether that much is within figures of which one, but not both, may be missing.
 bool within(const Amount& much, const Amount& figures) {
@@ -42,29 +42,29 @@
     return out;
 }
 
-void Ledger::set(Table table) {
+void QuotaAccounting::set(Table table) {
     table_ = std::move(table);
     for (auto& [name, team] : teams_) team.stale = true;
 }
 
-const Figures* Ledger::figures(const std::string& team) const {
+const Figures* QuotaAccounting::figures(const std::string& team) const {
     const auto it = table_.find(team);
     return it == table_.end() ? nullptr : &it->second;
 }
 
-const Ledger::Team* Ledger::find(const std::string& team) const {
+const QuotaAccounting::Team* QuotaAccounting::find(const std::string& team) const {
     const auto it = teams_.find(team);
     return it == teams_.end() ? nullptr : &it->second;
 }
 
-void Ledger::placed(const std::string& team, const wire::Resources& need) {
+void QuotaAccounting::placed(const std::string& team, const model::Resources& need) {
     auto& t = teams_[team];
     t.use.cpus += need.cpus;
     t.use.gpus += need.gpus;
     ++t.tasks;
 }
 
-void Ledger::gone(const std::string& team, const wire::Resources& need) {
+void QuotaAccounting::gone(const std::string& team, const model::Resources& need) {
     auto& t = teams_[team];
     assert(t.tasks > 0);
     // Sums of many decimal numbers drift; where nothing is placed nothing is used.
@@ -77,12 +77,12 @@
     assert(t.use.cpus > -rounding && t.use.gpus > -rounding);
 }
 
-Amount Ledger::use(const std::string& team) const {
+Amount QuotaAccounting::use(const std::string& team) const {
     const auto* t = find(team);
     return t ? t->use : Amount{};
 }
 
-std::uint32_t Ledger::room(const std::string& team, const wire::Resources& need, std::uint32_t tasks) const {
+std::uint32_t QuotaAccounting::room(const std::string& team, const model::Resources& need, std::uint32_t tasks) const {
     const auto* f = figures(team);
     if (!f) return 0;
     const auto used = use(team);
@@ -94,29 +94,29 @@
     return std::min(left(f->limit.cpus, used.cpus, need.cpus), left(f->limit.gpus, used.gpus, need.gpus));
 }
 
-bool Ledger::over_limit(const std::string& team) const {
+bool QuotaAccounting::over_limit(const std::string& team) const {
     const auto* f = figures(team);
     const auto used = use(team);
     const auto over = [](double limit, double in_use) { return limit > 0 && in_use > limit + rounding; };
     return f && (over(f->limit.cpus, used.cpus) || over(f->limit.gpus, used.gpus));
 }
 
-bool Ledger::limited(const std::string& team) const {
+bool QuotaAccounting::limited(const std::string& team) const {
     const auto* f = figures(team);
     return !f || f->limit.cpus > 0 || f->limit.gpus > 0;
 }
 
-void Ledger::opened(const wire::JobSpec& spec) {
+void QuotaAccounting::opened(const model::JobSpec& spec) {
     auto& t = teams_[spec.team];
     t.stale = t.open.insert({spec.accepted_ms, spec.uid, of(spec.need, spec.tasks)}).second || t.stale;
 }
 
-void Ledger::over(const wire::JobSpec& spec) {
+void QuotaAccounting::over(const model::JobSpec& spec) {
     auto& t = teams_[spec.team];
     t.stale = t.open.erase({spec.accepted_ms, spec.uid, {}}) > 0 || t.stale;
 }
 
-bool Ledger::any_guarantee() const {
+bool QuotaAccounting::any_guarantee() const {
     return std::any_of(table_.begin(), table_.end(), [](const auto& entry) {
         return entry.second.guarantee.cpus > 0 || entry.second.guarantee.gpus > 0;
     });
@@ -124,7 +124,7 @@
 
 // All that was accepted before counts, whether or not it fits itself: so whoever asks for too much at once does not get
 // his smaller jobs ahead of others on the guarantee.
-void Ledger::refresh(const std::string& name, const Team& team) const {
+void QuotaAccounting::refresh(const std::string& name, const Team& team) const {
     team.stale = false;
     team.guaranteed.clear();
     team.guaranteed_need = {};
@@ -139,14 +139,14 @@
     }
 }
 
-bool Ledger::guaranteed(const std::string& team, const std::string& uid) const {
+bool QuotaAccounting::guaranteed(const std::string& team, const std::string& uid) const {
     const auto* t = find(team);
     if (!t) return false;
     if (t->stale) refresh(team, *t);
     return t->guaranteed.contains(uid);
 }
 
-bool Ledger::may_stop(const std::string& team, const Amount& stopping, const wire::Resources& need) const {
+bool QuotaAccounting::may_stop(const std::string& team, const Amount& stopping, const model::Resources& need) const {
     const auto* f = figures(team);
     if (!f) return true;
     const auto used = use(team);
@@ -155,7 +155,7 @@
            above(used.gpus - stopping.gpus - need.gpus, f->guarantee.gpus);
 }
 
-bool Ledger::below_guarantee(const std::string& team) const {
+bool QuotaAccounting::below_guarantee(const std::string& team) const {
     const auto* t = find(team);
     if (!t) return false;
     if (t->stale) refresh(team, *t);
--- a/src/quota/ledger.hpp
+++ b/src/quota/quota_accounting.hpp
@@ -8,7 +8,8 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "wire/types.hpp"
+#include "model/job.hpp"
+#include "model/resources.hpp"
 
 namespace flintdale::quota {
 
@@ -32,20 +33,20 @@
 // that only some know keeps the figures that there are.
 Table strictest(const Table& a, const Table& b);
 
-class Ledger {
+class QuotaAccounting {
   public:
-    explicit Ledger(Table table) : table_(std::move(table)) {}
+    explicit QuotaAccounting(Table table) : table_(std::move(table)) {}
 
     // Other figures from now on. What is over a lowered limit stays; nothing more starts until it is below.
     void set(Table table);
     const Table& table() const { return table_; }
 
     // --- use ---
-    void placed(const std::string& team, const wire::Resources& need);
-    void gone(const std::string& team, const wire::Resources& need);
+    void placed(const std::string& team, const model::Resources& need);
+    void gone(const std::string& team, const model::Resources& need);
     Amount use(const std::string& team) const;
     // How many more such tasks the team's limit leaves room for, at most `tasks`; none for a team that is not known.
-    std::uint32_t room(const std::string& team, const wire::Resources& need, std::uint32_t tasks) const;
+    std::uint32_t room(const std::string& team, const model::Resources& need, std::uint32_t tasks) const;
 
     // Whether what may be on machines is more than the limit: a leader that has just begun may read of tasks that never
     // started beside those that took their place.
@@ -55,8 +56,8 @@
 
     // --- guarantees ---
     // A job that is not over, in the order of acceptance on record, which every controller knows alike.
-    void opened(const wire::JobSpec& spec);
-    void over(const wire::JobSpec& spec);
+    void opened(const model::JobSpec& spec);
+    void over(const model::JobSpec& spec);
     bool any_guarantee() const;
     // Whether the job fits into its team's guarantee together with all of the team's jobs that were accepted before it
     // and are not over. Such a job need not wait for other teams, and is never stopped for one. A figure that is not
@@ -64,7 +65,7 @@
     bool guaranteed(const std::string& team, const std::string& uid) const;
     // Whether a task of the team that is not guaranteed may be stopped for another's guarantee, with `stopping` of the
     // team's use on its way out already: nobody is brought below his own.
-    bool may_stop(const std::string& team, const Amount& stopping, const wire::Resources& need) const;
+    bool may_stop(const std::string& team, const Amount& stopping, const model::Resources& need) const;
     // Whether the team has work that is guaranteed and not all of it is placed: for the log and for tests.
     bool below_guarantee(const std::string& team) const;
 
--- a/src/recovery/inquiry.cpp
+++ b/src/recovery/consistency_check.cpp
@@ -1,4 +1,4 @@
-#include "recovery/inquiry.hpp"
+#include "recovery/consistency_check.hpp"
 
 #include <algorithm>
 
@@ -7,56 +7,57 @@
 namespace flintdale::recovery {
 
 using state::Outcome;
-using state::Urgency;
+using state::RequestPriority;
 
-awaitable<Inquiry::Page> Inquiry::page(std::string prefix, std::string after, Urgency urgency) {
-    const auto mark = memory_.mark();
+awaitable<ConsistencyCheck::Page> ConsistencyCheck::page(std::string prefix, std::string after,
+                                                         RequestPriority priority) {
+    const auto mark = replica_.mark();
     const auto newest = newest_();
     const auto from = after;
     const bool all = prefix == scheduler::jobs_prefix;
     Page out;
-    out.read = co_await store_.range(std::move(prefix), std::move(after), urgency);
-    if (out.read.outcome != Outcome::ok || !memory_.holds(mark)) co_return out;
+    out.read = co_await store_.range(std::move(prefix), std::move(after), priority);
+    if (out.read.outcome != Outcome::ok || !replica_.holds(mark)) co_return out;
     out.went_back = out.read.revision < newest;
     const auto to = out.read.more && !out.read.items.empty() ? out.read.items.back().key : std::string();
-    if (all) out.missing = memory_.missing_from(mark, from, to, out.read.items);
+    if (all) out.missing = replica_.missing_from(mark, from, to, out.read.items);
     co_return out;
 }
 
-awaitable<Inquiry::Changes> Inquiry::changes(std::string prefix) {
-    const auto mark = memory_.mark();
+awaitable<ConsistencyCheck::Changes> ConsistencyCheck::changes(std::string prefix) {
+    const auto mark = replica_.mark();
     const auto newest = newest_();
     Changes out;
-    out.seen = co_await store_.follow(std::move(prefix), memory_.revision(), std::chrono::milliseconds(0));
-    out.went_back = out.seen.outcome == Outcome::ok && memory_.holds(mark) && out.seen.revision < newest;
+    out.seen = co_await store_.watch(std::move(prefix), replica_.revision(), std::chrono::milliseconds(0));
+    out.went_back = out.seen.outcome == Outcome::ok && replica_.holds(mark) && out.seen.revision < newest;
     co_return out;
 }
 
-awaitable<Inquiry::Finding> Inquiry::look_again(std::string key, Urgency urgency) {
+awaitable<ConsistencyCheck::Finding> ConsistencyCheck::look_again(std::string key, RequestPriority priority) {
     using Verdict = Finding::Verdict;
     Finding out;
     out.key = key;
-    const auto mark = memory_.mark();
-    out.remembered = memory_.expected(key);
+    const auto mark = replica_.mark();
+    out.remembered = replica_.expected(key);
     if (!out.remembered) {
         out.verdict = Verdict::sound;
         co_return out;
     }
-    const auto got = co_await store_.get(std::move(key), urgency);
-    if (got.outcome != Outcome::ok || !memory_.holds(mark)) co_return out;
-    out.damaged = got.item.stamp && !got.item.value.is_object() && memory_.readable(out.key);
-    if (got.item.stamp >= out.remembered && !out.damaged) {
+    const auto got = co_await store_.get(std::move(key), priority);
+    if (got.outcome != Outcome::ok || !replica_.holds(mark)) co_return out;
+    out.damaged = got.item.mod_revision && !got.item.value.is_object() && replica_.readable(out.key);
+    if (got.item.mod_revision >= out.remembered && !out.damaged) {
         out.verdict = Verdict::sound;
         co_return out;
     }
     // At one revision: it is what was just read, and its job has no outcome that would let it be removed.
     state::Txn txn;
-    txn.conditions.push_back({out.key, got.item.stamp});
+    txn.conditions.push_back({out.key, got.item.mod_revision});
     const auto work = scheduler::parse_work_key(out.key);
     const auto outcome = work ? scheduler::outcome_key(work->uid) : std::string();
     if (work) txn.conditions.push_back({outcome, 0});
-    const auto at_once = co_await store_.commit(std::move(txn), urgency);
-    if (!memory_.holds(mark)) co_return out;
+    const auto at_once = co_await store_.commit(std::move(txn), priority);
+    if (!replica_.holds(mark)) co_return out;
     if (at_once.outcome == Outcome::conflict) {
         const bool over = std::find(at_once.failed.begin(), at_once.failed.end(), outcome) != at_once.failed.end();
         // Over, or written just now: then it is looked at once more.
@@ -65,7 +66,7 @@
     }
     if (at_once.outcome != Outcome::ok) co_return out;
     out.verdict = Verdict::gone;
-    out.there = got.item.stamp;
+    out.there = got.item.mod_revision;
     out.revision = at_once.revision;
     co_return out;
 }
--- a/src/recovery/inquiry.hpp
+++ b/src/recovery/consistency_check.hpp
@@ -7,17 +7,17 @@
 #pragma once
 #include <functional>
 
-#include "recovery/memory.hpp"
+#include "recovery/record_replica.hpp"
 
 namespace flintdale::recovery {
 
 using net::awaitable;
 
-class Inquiry {
+class ConsistencyCheck {
   public:
     // `newest`: the highest revision of this history that anybody has told of.
-    Inquiry(state::Store& store, const Memory& memory, std::function<std::uint64_t()> newest)
-        : store_(store), memory_(memory), newest_(std::move(newest)) {}
+    ConsistencyCheck(state::Store& store, const RecordReplica& replica, std::function<std::uint64_t()> newest)
+        : store_(store), replica_(replica), newest_(std::move(newest)) {}
 
     struct Page {
         state::RangeResult read;
@@ -25,10 +25,10 @@
         // Of all records of jobs: remembered then, unchanged since, and absent or older. To be looked at again.
         std::vector<std::string> missing;
     };
-    awaitable<Page> page(std::string prefix, std::string after, state::Urgency urgency);
+    awaitable<Page> page(std::string prefix, std::string after, state::RequestPriority priority);
 
     struct Changes {
-        state::FollowResult seen;
+        state::WatchResult seen;
         bool went_back = false;
     };
     awaitable<Changes> changes(std::string prefix);
@@ -42,11 +42,11 @@
         std::uint64_t there = 0, remembered = 0, revision = 0;
         bool damaged = false;  // there, with its stamp, and no longer what was written
     };
-    awaitable<Finding> look_again(std::string key, state::Urgency urgency);
+    awaitable<Finding> look_again(std::string key, state::RequestPriority priority);
 
   private:
     state::Store& store_;
-    const Memory& memory_;
+    const RecordReplica& replica_;
     std::function<std::uint64_t()> newest_;
 };
 
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -5,6 +5,7 @@
 #include <set>
 #include <tuple>
 
+#include "model/job.hpp"
 #include "scheduler/job.hpp"
 
 namespace flintdale::recovery {
@@ -22,47 +23,48 @@
     return std::move(v.get_object());
 }
 
-wire::JobState state_of(const std::string& text) {
+model::JobState state_of(const std::string& text) {
     const auto o = object_of(text);
     const auto* state = o ? o->if_contains("state") : nullptr;
-    if (!state || !state->is_string()) return wire::JobState::open;
-    for (const auto known : {wire::JobState::done, wire::JobState::cancelled})
+    if (!state || !state->is_string()) return model::JobState::open;
+    for (const auto known : {model::JobState::done, model::JobState::cancelled})
         if (state->get_string() == wire::job_state_name(known)) return known;
-    return wire::JobState::open;
+    return model::JobState::open;
 }
 
 // Two sources of one history cannot hold different values of one revision of a key, but for damage or a history that
 // forked. Then done is worth more than cancelled, and a higher attempt than a lower one.
 auto worth(const std::string& key, const std::string& text) {
-    std::uint64_t rank = 0;
+    std::uint64_t priority = 0;
     if (is_final(key)) {
-        rank = state_of(text) == wire::JobState::done ? 2 : state_of(text) == wire::JobState::cancelled ? 1 : 0;
+        priority = state_of(text) == model::JobState::done ? 2 : state_of(text) == model::JobState::cancelled ? 1 : 0;
     } else if (const auto o = object_of(text)) {
         const auto* tasks = o->if_contains("tasks");
         if (tasks && tasks->is_array()) try {
-                for (const auto& r : wire::ranges_from_record(tasks->get_array())) rank = std::max(rank, r.attempt);
+                for (const auto& r : wire::ranges_from_record(tasks->get_array()))
+                    priority = std::max(priority, r.attempt);
             } catch (const std::exception&) {
-                rank = 0;
+                priority = 0;
             }
     }
-    return std::tuple(rank, text);
+    return std::tuple(priority, text);
 }
 
 bool readable(const std::string& key, const std::string& text) {
     const auto o = object_of(text);
-    return o && (!is_final(key) || state_of(text) != wire::JobState::open);
+    return o && (!is_final(key) || state_of(text) != model::JobState::open);
 }
 
 class Merger {
   public:
-    explicit Merger(const std::vector<Source>& sources) {
+    explicit Merger(const std::vector<ReplicaContents>& sources) {
         for (const auto& s : sources)
             if (s.whole) newest_whole_ = std::max(newest_whole_, s.generation);
         for (const auto& s : sources)
             if (s.generation >= newest_whole_) used_.push_back(&s);
     }
 
-    Merged run(const Source& store) {
+    Merged run(const ReplicaContents& store) {
         take_newest();
         drop_removed();
         for (auto& [key, held] : held_) out_.records.emplace(key, held.record->text);
@@ -87,9 +89,9 @@
                     continue;
                 }
                 auto& held = held_[key];
-                const auto mine = std::tuple(s->generation, record.stamp);
+                const auto mine = std::tuple(s->generation, record.mod_revision);
                 const auto theirs =
-                    held.record ? std::tuple(held.generation, held.record->stamp) : std::tuple(0ul, 0ul);
+                    held.record ? std::tuple(held.generation, held.record->mod_revision) : std::tuple(0ul, 0ul);
                 if (held.record && mine == theirs && record.text != held.record->text) doubt("two values of " + key);
                 if (!held.record || mine > theirs ||
                     (mine == theirs && worth(key, record.text) > worth(key, held.record->text)))
@@ -104,7 +106,7 @@
             if (!s->whole) continue;
             std::erase_if(held_, [&](const auto& entry) {
                 const auto& [key, held] = entry;
-                if (is_final(key) || held.generation != s->generation || held.record->stamp > s->revision ||
+                if (is_final(key) || held.generation != s->generation || held.record->mod_revision > s->revision ||
                     s->records.contains(key))
                     return false;
                 const auto work = scheduler::parse_work_key(key);
@@ -115,13 +117,13 @@
 
     // Whether somebody who knows everything up to its end knew the job.
     bool known_to_whole(const std::string& uid) const {
-        return std::any_of(used_.begin(), used_.end(), [&](const Source* s) {
+        return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* s) {
             return s->whole && (s->records.contains(scheduler::outcome_key(uid)) ||
                                 s->records.contains(scheduler::work_key(uid, 0)));
         });
     }
 
-    void add(const Source& store) {
+    void add(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
                 if (!out_.records.contains(key)) doubt("unreadable " + key);
@@ -145,7 +147,7 @@
             const auto work = scheduler::parse_work_key(key);
             if (!work) return true;
             const auto outcome = out_.records.find(scheduler::outcome_key(work->uid));
-            if (outcome != out_.records.end()) return state_of(outcome->second) == wire::JobState::done;
+            if (outcome != out_.records.end()) return state_of(outcome->second) == model::JobState::done;
             if (work->first() || held_.contains(scheduler::work_key(work->uid, 0)) ||
                 out_.records.contains(scheduler::work_key(work->uid, 0)))
                 return false;
@@ -157,7 +159,7 @@
     }
 
     std::uint64_t newest_whole_ = 0;
-    std::vector<const Source*> used_;
+    std::vector<const ReplicaContents*> used_;
     std::map<std::string, Held> held_;
     std::set<std::string> doubts_;
     Merged out_;
@@ -165,6 +167,8 @@
 
 }  // namespace
 
-Merged merge(const std::vector<Source>& sources, const Source& store) { return Merger(sources).run(store); }
+Merged merge(const std::vector<ReplicaContents>& sources, const ReplicaContents& store) {
+    return Merger(sources).run(store);
+}
 
 }  // namespace flintdale::recovery
--- a/src/recovery/merge.hpp
+++ b/src/recovery/merge.hpp
@@ -7,13 +7,13 @@
 namespace flintdale::recovery {
 
 struct Record {
-    std::uint64_t stamp = 0;  // in the history of its source
-    std::string text;         // JSON
+    std::uint64_t mod_revision = 0;  // in the history of its source
+    std::string text;                // JSON
     bool operator==(const Record&) const = default;
 };
 
 // What one controller, snapshot or the state service itself holds of the keys of jobs.
-struct Source {
+struct ReplicaContents {
     std::string from;              // for the log
     std::uint64_t generation = 0;  // of the history that its stamps are of
     std::string id;                // of that history
@@ -39,6 +39,6 @@
 //   - An outcome beats open work. Work of a job that is done is left out; of a cancelled one it stays, for its tasks
 //     have to be found and stopped.
 //   - Work without its first record is nobody's: the submission is lost, and said so.
-Merged merge(const std::vector<Source>& sources, const Source& store);
+Merged merge(const std::vector<ReplicaContents>& sources, const ReplicaContents& store);
 
 }  // namespace flintdale::recovery
--- a/src/recovery/memory.cpp
+++ b/src/recovery/record_replica.cpp
@@ -1,4 +1,4 @@
-#include "recovery/memory.hpp"
+#include "recovery/record_replica.hpp"
 
 #include <algorithm>
 #include <boost/crc.hpp>
@@ -20,41 +20,41 @@
 
 }  // namespace
 
-void Memory::begin(std::uint64_t generation, std::string id, std::uint64_t revision) {
+void RecordReplica::begin(std::uint64_t generation, std::string id, std::uint64_t revision) {
     const auto history = history_ + 1;
-    *this = Memory();
+    *this = RecordReplica();
     history_ = history;
     generation_ = generation;
     id_ = std::move(id);
     revision_ = revision;
 }
 
-void Memory::recall(const Source& snapshot) {
+void RecordReplica::recall(const ReplicaContents& snapshot) {
     begin(snapshot.generation, snapshot.id, snapshot.revision);
     for (const auto& [key, record] : snapshot.records) {
         json::error_code ec;
         const auto value = json::parse(record.text, ec);
-        if (!ec) hold(key, value, record.stamp);
+        if (!ec) hold(key, value, record.mod_revision);
     }
 }
 
-std::uint64_t Memory::stamp_of(const std::string& key) const {
+std::uint64_t RecordReplica::mod_revision_of(const std::string& key) const {
     if (is_final(key))
-        if (const auto it = finals_.find(uid_of_final(key)); it != finals_.end()) return it->second.stamp;
+        if (const auto it = finals_.find(uid_of_final(key)); it != finals_.end()) return it->second.mod_revision;
     const auto it = work_.find(key);
-    return it == work_.end() ? 0 : it->second.stamp;
+    return it == work_.end() ? 0 : it->second.mod_revision;
 }
 
-void Memory::hold(const std::string& key, const json::value& value, std::uint64_t stamp) {
-    if (stamp_of(key) >= stamp) return;
+void RecordReplica::hold(const std::string& key, const json::value& value, std::uint64_t mod_revision) {
+    if (mod_revision_of(key) >= mod_revision) return;
     if (is_final(key) && value.is_object() && has_size(value.get_object())) try {
             const auto& o = value.get_object();
             Final f;
-            f.stamp = stamp;
+            f.mod_revision = mod_revision;
             f.state = wire::job_state_from(std::string_view(o.at("state").as_string()));
             if (const auto* at = o.if_contains("at")) f.at = at->to_number<std::int64_t>();
             const auto size = wire::size_from_record(o);
-            f.shape = size.shape;
+            f.kind = size.kind;
             f.tasks = size.tasks;
             finals_[uid_of_final(key)] = f;
             work_.erase(key);
@@ -62,32 +62,32 @@
         } catch (const std::exception&) {
             // Kept as it is: whoever rebuilds finds out that it cannot be read, and may have a better one.
         }
-    work_[key] = {stamp, json::serialize(value)};
+    work_[key] = {mod_revision, json::serialize(value)};
 }
 
-void Memory::drop(const std::string& key, std::uint64_t stamp) {
-    if (!whole_) removed_[key] = stamp;
-    if (const auto it = work_.find(key); it != work_.end() && it->second.stamp < stamp) work_.erase(it);
+void RecordReplica::drop(const std::string& key, std::uint64_t mod_revision) {
+    if (!whole_) removed_[key] = mod_revision;
+    if (const auto it = work_.find(key); it != work_.end() && it->second.mod_revision < mod_revision) work_.erase(it);
 }
 
-void Memory::page(const std::vector<state::Item>& items) {
+void RecordReplica::page(const std::vector<state::KeyValue>& items) {
     for (const auto& item : items) {
         const auto gone = removed_.find(item.key);
-        if (gone == removed_.end() || gone->second < item.stamp) hold(item.key, item.value, item.stamp);
+        if (gone == removed_.end() || gone->second < item.mod_revision) hold(item.key, item.value, item.mod_revision);
     }
 }
 
-void Memory::filled() {
+void RecordReplica::filled() {
     whole_ = true;
     removed_.clear();
 }
 
-std::vector<std::string> Memory::told(const state::FollowResult& changes) {
+std::vector<std::string> RecordReplica::told(const state::WatchResult& changes) {
     std::vector<std::string> oddities;
     for (std::size_t i = 0; i < changes.events.size(); ++i) {
         const auto& e = changes.events[i];
         if (!changes.deleted[i]) {
-            hold(e.key, e.value, e.stamp);
+            hold(e.key, e.value, e.mod_revision);
             continue;
         }
         // Work is removed when a job is over, and outcomes never are. While not everything has been read, an outcome
@@ -100,47 +100,47 @@
             oddities.push_back(e.key);
             continue;  // it is remembered all the more
         }
-        drop(e.key, e.stamp);
+        drop(e.key, e.mod_revision);
     }
     revision_ = std::max(revision_, changes.revision);
     return oddities;
 }
 
-void Memory::written(const state::Change& change, std::uint64_t revision) {
+void RecordReplica::written(const state::Change& change, std::uint64_t revision) {
     if (change.value)
         hold(change.key, *change.value, revision);
     else
         drop(change.key, revision);
 }
 
-bool Memory::knows(const std::string& uid) const {
+bool RecordReplica::knows(const std::string& uid) const {
     return finals_.contains(uid) || work_.contains(scheduler::work_key(uid, 0)) ||
            work_.contains(scheduler::outcome_key(uid));
 }
 
-std::optional<Memory::Outcome> Memory::outcome_of(const std::string& uid) const {
+std::optional<RecordReplica::Outcome> RecordReplica::outcome_of(const std::string& uid) const {
     if (const auto it = finals_.find(uid); it != finals_.end())
-        return Outcome{it->second.state, {it->second.shape, it->second.tasks}};
+        return Outcome{it->second.state, {it->second.kind, it->second.tasks}};
     if (!knows(uid)) return std::nullopt;
     return Outcome{};
 }
 
-Memory::Digest Memory::digest(std::uint64_t revision) const {
+RecordReplica::Digest RecordReplica::digest(std::uint64_t revision) const {
     Digest out;
-    const auto count = [&](std::string_view uid, std::uint64_t stamp) {
-        if (stamp > revision) return;
+    const auto count = [&](std::string_view uid, std::uint64_t mod_revision) {
+        if (mod_revision > revision) return;
         boost::crc_32_type crc;
         crc.process_bytes(uid.data(), uid.size());
         ++out.outcomes;
         out.sum += crc.checksum();
     };
-    for (const auto& [uid, f] : finals_) count(uid, f.stamp);
+    for (const auto& [uid, f] : finals_) count(uid, f.mod_revision);
     for (const auto& [key, record] : work_)
-        if (is_final(key)) count(uid_of_final(key), record.stamp);
+        if (is_final(key)) count(uid_of_final(key), record.mod_revision);
     return out;
 }
 
-std::vector<std::string> Memory::open_jobs() const {
+std::vector<std::string> RecordReplica::open_jobs() const {
     std::vector<std::string> out;
     for (const auto& [key, record] : work_) {
         const auto work = scheduler::parse_work_key(key);
@@ -150,68 +150,71 @@
     return out;
 }
 
-std::size_t Memory::jobs() const {
+std::size_t RecordReplica::jobs() const {
     const auto odd = std::count_if(work_.begin(), work_.end(), [](const auto& r) { return is_final(r.first); });
     return open_jobs().size() + finals_.size() + static_cast<std::size_t>(odd);
 }
 
-bool Memory::readable(const std::string& key) const {
+bool RecordReplica::readable(const std::string& key) const {
     if (is_final(key) && finals_.contains(uid_of_final(key))) return true;
     const auto it = work_.find(key);
     return it != work_.end() && it->second.text.starts_with('{');
 }
 
-std::uint64_t Memory::expected(const std::string& key) const {
+std::uint64_t RecordReplica::expected(const std::string& key) const {
     if (const auto work = scheduler::parse_work_key(key);
         work && (over(work->uid) || work_.contains(scheduler::outcome_key(work->uid))))
         return 0;
-    const auto stamp = stamp_of(key);
-    return stamp <= owed_stamp ? 0 : stamp;
+    const auto mod_revision = mod_revision_of(key);
+    return mod_revision <= deferred_mod_revision ? 0 : mod_revision;
 }
 
-std::size_t Memory::jobs_at(std::uint64_t revision) const {
+std::size_t RecordReplica::jobs_at(std::uint64_t revision) const {
     std::size_t n = digest(revision).outcomes;
-    for (const auto& uid : open_jobs()) n += work_.at(scheduler::work_key(uid, 0)).stamp <= revision;
+    for (const auto& uid : open_jobs()) n += work_.at(scheduler::work_key(uid, 0)).mod_revision <= revision;
     return n;
 }
 
-std::vector<std::string> Memory::missing_from(const Mark& mark, const std::string& from, const std::string& to,
-                                              const std::vector<state::Item>& items) const {
+std::vector<std::string> RecordReplica::missing_from(const Mark& mark, const std::string& from, const std::string& to,
+                                                     const std::vector<state::KeyValue>& items) const {
     if (!holds(mark)) return {};
-    std::map<std::string_view, const state::Item*> there;
+    std::map<std::string_view, const state::KeyValue*> there;
     for (const auto& item : items) there.emplace(item.key, &item);
     std::vector<std::string> out;
     // What has a later stamp than the mark was written, or became known, while the page was on its way.
-    const auto check = [&](const std::string& key, std::uint64_t stamp) {
-        if (key <= from || (!to.empty() && key > to) || stamp <= owed_stamp || stamp > mark.revision) return;
+    const auto check = [&](const std::string& key, std::uint64_t mod_revision) {
+        if (key <= from || (!to.empty() && key > to) || mod_revision <= deferred_mod_revision ||
+            mod_revision > mark.revision)
+            return;
         const auto it = there.find(key);
-        if (it == there.end() || it->second->stamp < stamp || (!it->second->value.is_object() && readable(key)))
+        if (it == there.end() || it->second->mod_revision < mod_revision ||
+            (!it->second->value.is_object() && readable(key)))
             out.push_back(key);
     };
     for (auto it = work_.upper_bound(from); it != work_.end() && (to.empty() || it->first <= to); ++it)
-        check(it->first, it->second.stamp);
+        check(it->first, it->second.mod_revision);
     // Outcomes are remembered in no order: they are gone through only for pages that reach into them.
     if (from < scheduler::work_prefix)
-        for (const auto& [uid, f] : finals_) check(scheduler::outcome_key(uid), f.stamp);
+        for (const auto& [uid, f] : finals_) check(scheduler::outcome_key(uid), f.mod_revision);
     return out;
 }
 
-std::string Memory::text_of(const Final& f) {
+std::string RecordReplica::text_of(const Final& f) {
     json::object o{{"state", wire::job_state_name(f.state)}};
     if (f.at) o["at"] = f.at;
-    wire::size_to_record({f.shape, f.tasks}, o);
+    wire::size_to_record({f.kind, f.tasks}, o);
     return json::serialize(o);
 }
 
-std::optional<Record> Memory::record(const std::string& key) const {
+std::optional<Record> RecordReplica::record(const std::string& key) const {
     if (is_final(key))
         if (const auto it = finals_.find(uid_of_final(key)); it != finals_.end())
-            return Record{it->second.stamp, text_of(it->second)};
+            return Record{it->second.mod_revision, text_of(it->second)};
     const auto it = work_.find(key);
     return it == work_.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::set<std::string> Memory::machines_of(const std::string& uid) const {
+std::set<std::string> RecordReplica::machines_of(const std::string& uid) const {
     std::set<std::string> out;
     const auto add = [&](const std::string& text) {
         json::error_code ec;
@@ -228,18 +231,18 @@
     return out;
 }
 
-Source Memory::source(std::string from, std::uint64_t after) const {
-    Source out;
+ReplicaContents RecordReplica::source(std::string from, std::uint64_t after) const {
+    ReplicaContents out;
     out.from = std::move(from);
     out.generation = generation_;
     out.id = id_;
     out.revision = revision_;
     out.whole = whole_ && after == 0;
     for (const auto& [key, record] : work_)
-        if (record.stamp > after) out.records.emplace(key, record);
+        if (record.mod_revision > after) out.records.emplace(key, record);
     for (const auto& [uid, f] : finals_) {
-        if (f.stamp <= after) continue;
-        out.records.emplace(scheduler::outcome_key(uid), Record{f.stamp, text_of(f)});
+        if (f.mod_revision <= after) continue;
+        out.records.emplace(scheduler::outcome_key(uid), Record{f.mod_revision, text_of(f)});
     }
     return out;
 }
--- a/src/recovery/memory.hpp
+++ b/src/recovery/record_replica.hpp
@@ -5,29 +5,29 @@
 #include <optional>
 #include <set>
 
+#include "model/job.hpp"
 #include "recovery/merge.hpp"
 #include "state/store.hpp"
-#include "wire/types.hpp"
 
 namespace flintdale::recovery {
 
 // Of outcomes that have no place of their own yet: older than anything that has.
-inline constexpr std::uint64_t owed_stamp = 1;
+inline constexpr std::uint64_t deferred_mod_revision = 1;
 
-class Memory {
+class RecordReplica {
   public:
     // Begins anew with a history, of which everything after that revision will be told. What was on record before comes
     // in pages.
     void begin(std::uint64_t generation, std::string id, std::uint64_t revision);
     // Takes over what a snapshot held, of a history that is no more.
-    void recall(const Source& snapshot);
+    void recall(const ReplicaContents& snapshot);
 
     // Part of what is on record, read after begin(); filled() once all has been.
-    void page(const std::vector<state::Item>& items);
+    void page(const std::vector<state::KeyValue>& items);
     void filled();
     // The changes up to that revision, in their order. Of what cannot have happened if nothing was lost the keys are
     // told: an outcome that was removed, or work of a job without one.
-    std::vector<std::string> told(const state::FollowResult& changes);
+    std::vector<std::string> told(const state::WatchResult& changes);
     // A change that this controller itself has had acknowledged, which it may be told of later.
     void written(const state::Change& change, std::uint64_t revision);
 
@@ -40,8 +40,8 @@
         return it == finals_.end() || !it->second.at ? std::nullopt : std::optional(it->second.at);
     }
     struct Outcome {
-        wire::JobState state = wire::JobState::open;
-        wire::JobSize size;
+        model::JobState state = model::JobState::open;
+        model::JobSize size;
     };
     // Of a job that is remembered; `open` if it has none.
     std::optional<Outcome> outcome_of(const std::string& uid) const;
@@ -67,9 +67,9 @@
     bool holds(const Mark& mark) const { return mark.history == history_; }
     // Keys after `from` and up to `to` (empty: the last) that were remembered at the mark, are unchanged since, and are
     // not among the items read there, or are there with an older or unreadable value. What is owed has no place yet.
-    // They may have been removed in good order since: an Inquiry looks at each again.
+    // They may have been removed in good order since: an ConsistencyCheck looks at each again.
     std::vector<std::string> missing_from(const Mark& mark, const std::string& from, const std::string& to,
-                                          const std::vector<state::Item>& items) const;
+                                          const std::vector<state::KeyValue>& items) const;
     // The stamp under which the key must be on record, for all that is known; 0: it need not be there, for it is not
     // remembered, or its job is over and it may be removed, or it is owed.
     std::uint64_t expected(const std::string& key) const;
@@ -82,19 +82,19 @@
     std::size_t size() const { return work_.size() + finals_.size(); }
 
     // All that is remembered, or what changed after that revision.
-    Source source(std::string from, std::uint64_t after = 0) const;
+    ReplicaContents source(std::string from, std::uint64_t after = 0) const;
 
   private:
     struct Final {
-        std::uint64_t stamp = 0;
+        std::uint64_t mod_revision = 0;
         std::int64_t at = 0;
         std::uint32_t tasks = 0;
-        wire::Shape shape = wire::Shape::array;
-        wire::JobState state = wire::JobState::open;
+        model::JobKind kind = model::JobKind::array;
+        model::JobState state = model::JobState::open;
     };
-    void hold(const std::string& key, const boost::json::value& value, std::uint64_t stamp);
-    void drop(const std::string& key, std::uint64_t stamp);
-    std::uint64_t stamp_of(const std::string& key) const;
+    void hold(const std::string& key, const boost::json::value& value, std::uint64_t mod_revision);
+    void drop(const std::string& key, std::uint64_t mod_revision);
+    std::uint64_t mod_revision_of(const std::string& key) const;
     static std::string text_of(const Final& final);
 
     std::uint64_t generation_ = 0, revision_ = 0, history_ = 0;
--- a/src/recovery/keeper.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -1,25 +1,27 @@
-#include "recovery/keeper.hpp"
+#include "recovery/recovery_coordinator.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
 #include "scheduler/job.hpp"
 #include "wire/archive.hpp"
 
 namespace flintdale::recovery {
 
 using namespace std::chrono_literals;
+using model::Clock;
 using state::Outcome;
-using state::Urgency;
-using wire::Clock;
-using Look = Keeper::Links::Look;
+using state::RequestPriority;
+using Look = RecoveryCoordinator::Callbacks::Look;
 
 namespace {
 
 // Nothing here may be as patient as leftovers are: whatever this loop waits for keeps a term that was just won from
 // beginning. A scrubbing that waited for spare requests once kept a leader from its workers for 48 s.
-using Verdict = Inquiry::Finding::Verdict;
+using Verdict = ConsistencyCheck::Finding::Verdict;
 constexpr std::size_t most_terms = 8;        // that are remembered to have been about
 constexpr std::size_t most_suspects = 1000;  // keys that are to be looked at again; the rest will be missed again
 constexpr std::size_t most_put_back = 16;    // single records; where more are gone nobody knows how much is
@@ -59,7 +61,7 @@
     if (!x || !y) return false;
     try {
         const auto s = wire::size_from_record(*x), t = wire::size_from_record(*y);
-        return x->at("state") == y->at("state") && s.shape == t.shape && s.tasks == t.tasks;
+        return x->at("state") == y->at("state") && s.kind == t.kind && s.tasks == t.tasks;
     } catch (const std::exception&) {
         return false;
     }
@@ -80,12 +82,12 @@
     const auto* o = value.if_object();
     if (is_outcome(key)) {
         const auto* state = o ? o->if_contains("state") : nullptr;
-        return state && *state == boost::json::string(wire::job_state_name(wire::JobState::cancelled)) ? 0 : 9;
+        return state && *state == boost::json::string(wire::job_state_name(model::JobState::cancelled)) ? 0 : 9;
     }
     const auto* spec = o ? o->if_contains("spec") : nullptr;
     if (!spec) return 5;
     try {
-        return 4 - static_cast<int>(wire::spec_from_record(spec->as_object()).rank);
+        return 4 - static_cast<int>(wire::spec_from_record(spec->as_object()).priority);
     } catch (const std::exception&) {
         return 5;
     }
@@ -93,31 +95,32 @@
 
 }  // namespace
 
-Keeper::Keeper(net::Executor ex, state::Store& raw, state::GuardedStore& guarded, const config::Settings& settings,
-               const state::Form& form, SnapshotFile snapshot_file, Links links)
+RecoveryCoordinator::RecoveryCoordinator(net::Executor ex, state::Store& raw, state::GuardedStore& guarded,
+                                         const config::Settings& settings, const state::RecordFormat& record_format,
+                                         SnapshotFile snapshot_file, Callbacks callbacks)
     : raw_(raw),
       guarded_(guarded),
       settings_(settings),
-      form_(form),
+      record_format_(record_format),
       snapshot_file_(std::move(snapshot_file)),
-      links_(std::move(links)),
+      callbacks_(std::move(callbacks)),
       wake_(ex),
       began_(Clock::now()),
-      inquiry_(raw_, memory_, [this] { return newest_remembered(); }) {}
+      consistency_check_(raw_, replica_, [this] { return newest_remembered(); }) {}
 
-void Keeper::leads(election::Term term) {
+void RecoveryCoordinator::leads(election::Term term) {
     term_ = term;
     begun_ = false;
     wake_.notify();
 }
 
-void Keeper::deposed() {
+void RecoveryCoordinator::deposed() {
     term_.reset();
     begun_ = false;
     wake_.notify();
 }
 
-void Keeper::doubt(std::string why, Loss loss) {
+void RecoveryCoordinator::doubt(std::string why, Loss loss) {
     if (rebuilding_) return;
     beyond_memory_ = beyond_memory_ || loss == Loss::beyond_memory;
     records_only_ = records_only_ && loss == Loss::records;
@@ -129,24 +132,24 @@
     wake_.notify();
 }
 
-void Keeper::saw(std::uint64_t term) {
+void RecoveryCoordinator::saw(std::uint64_t term) {
     if (term) seen_.insert(term);
     if (seen_.size() > most_terms) seen_.erase(seen_.begin());
 }
 
-void Keeper::forget_doubt() {
+void RecoveryCoordinator::forget_doubt() {
     doubt_.reset();
     beyond_memory_ = false;
     records_only_ = true;
 }
 
-void Keeper::missed(const std::string& key) {
+void RecoveryCoordinator::missed(const std::string& key) {
     if (rebuilding_ || suspects_.size() >= most_suspects) return;
     if (suspects_.insert(key).second) spdlog::info("event=record_missed key={}", key);
     wake_.notify();
 }
 
-void Keeper::heard(const std::string& member, PeerWord word) {
+void RecoveryCoordinator::heard(const std::string& member, PeerRecordsStatus word) {
     word.heard = Clock::now();
     if (word.rebuilding > (known_ ? known_->generation : 0) && !rebuilding_) {
         recheck_ = true;
@@ -155,32 +158,32 @@
     peers_[member] = std::move(word);
 }
 
-Keeper::PeerWord Keeper::own_word() const {
-    PeerWord w;
-    w.generation = memory_.generation();
-    w.id = memory_.id();
+RecoveryCoordinator::PeerRecordsStatus RecoveryCoordinator::own_status() const {
+    PeerRecordsStatus w;
+    w.generation = replica_.generation();
+    w.id = replica_.id();
     // Zero while it knows of records that nobody else may know: see certain().
-    w.remembers = late_added_ ? memory_.revision() : 0;
+    w.remembers = late_added_ ? replica_.revision() : 0;
     w.rebuilding = rebuilding_ ? newest_generation() : 0;
     return w;
 }
 
-void Keeper::shown(const wire::WorkerReport& report) {
+void RecoveryCoordinator::shown(const model::Heartbeat& report) {
     if (shown_.size() > max_shown) return;
     for (const auto& t : report.tasks) shown_.insert(t.id.uid);
 }
 
 // --- the marker ---
 
-awaitable<void> Keeper::run() {
+awaitable<void> RecoveryCoordinator::run() {
     if (const auto kept = snapshot_file_.newest()) {
-        memory_.recall(*kept);
+        replica_.recall(*kept);
         spdlog::info("event=snapshot_read records={} generation={} revision={}", kept->records.size(), kept->generation,
                      kept->revision);
     }
     for (;;) {
         const auto known = histories();
-        const auto got = co_await raw_.get(state::marker_key, Urgency::leadership);
+        const auto got = co_await raw_.get(state::marker_key, RequestPriority::leadership);
         if (got.outcome != Outcome::ok) {
             co_await wake_.wait(try_again);
             continue;
@@ -192,16 +195,16 @@
         if (marker && (!marker->whole() || (known_ && marker->generation > known_->generation))) forget_doubt();
         if (!marker) {
             guarded_.close();
-            if (got.item.stamp)
-                co_await declare(got.item.stamp, 0, "the marker is damaged");
+            if (got.item.mod_revision)
+                co_await declare(got.item.mod_revision, 0, "the marker is damaged");
             else
                 co_await without_marker(known);
         } else if (!marker->whole()) {
             co_await stand_by(*marker);
         } else if (doubt_) {
-            co_await declare(marker->stamp, marker->generation, *doubt_);
+            co_await declare(marker->mod_revision, marker->generation, *doubt_);
         } else if (outdated(*marker, known)) {
-            co_await declare(marker->stamp, marker->generation, "another history than this was known before");
+            co_await declare(marker->mod_revision, marker->generation, "another history than this was known before");
         } else {
             co_await attend(*marker);
         }
@@ -209,16 +212,16 @@
 }
 
 // The histories that anybody is known to have seen.
-std::vector<Keeper::History> Keeper::histories() const {
+std::vector<RecoveryCoordinator::History> RecoveryCoordinator::histories() const {
     std::vector<History> out;
     if (known_) out.push_back({known_->generation, known_->id});
-    if (memory_.generation()) out.push_back({memory_.generation(), memory_.id()});
+    if (replica_.generation()) out.push_back({replica_.generation(), replica_.id()});
     for (const auto& [member, word] : peers_)
         if (word.generation) out.push_back({word.generation, word.id});
     return out;
 }
 
-std::uint64_t Keeper::newest_generation() const {
+std::uint64_t RecoveryCoordinator::newest_generation() const {
     std::uint64_t newest = former_ ? former_->generation() : 0;
     for (const auto& h : histories()) newest = std::max(newest, h.generation);
     return newest;
@@ -227,7 +230,7 @@
 // Whether a history was known, when this marker was asked for, that it cannot be of. What became known while its
 // answer was on the way says nothing: the marker may have been made, or replaced, meanwhile. And whatever is concluded
 // is written on the condition that the marker still stands.
-bool Keeper::outdated(const GenerationMarker& w, const std::vector<History>& known) {
+bool RecoveryCoordinator::outdated(const GenerationMarker& w, const std::vector<History>& known) {
     return std::any_of(known.begin(), known.end(), [&](const History& h) {
         return h.generation > w.generation || (h.generation == w.generation && !h.id.empty() && h.id != w.id);
     });
@@ -236,13 +239,13 @@
 // On a service that never had a marker one may be made: at the first start of all, or when the first controller of a
 // version comes that knows of it. A service that lost its marker looks the same, so nobody makes one before the others
 // have said that they know of none either, or long enough have said nothing.
-bool Keeper::may_create() const {
+bool RecoveryCoordinator::may_create() const {
     if (Clock::now() - began_ > first_wait) return true;
     return std::all_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const auto& peer) { return peers_.contains(peer.member); });
 }
 
-awaitable<void> Keeper::without_marker(const std::vector<History>& known) {
+awaitable<void> RecoveryCoordinator::without_marker(const std::vector<History>& known) {
     if (!known.empty() || doubt_) {
         co_await declare(0, 0, doubt_.value_or("the marker is gone"));
         co_return;
@@ -253,86 +256,86 @@
     }
     GenerationMarker w;
     w.generation = 1;
-    w.id = settings_.member + "-" + std::to_string(links_.time_of_day_ms());
-    const auto stamp = co_await put(w);
-    if (stamp)
+    w.id = settings_.member + "-" + std::to_string(callbacks_.time_of_day_ms());
+    const auto mod_revision = co_await put(w);
+    if (mod_revision)
         spdlog::info("event=marker_made id={}", w.id);
     else
         co_await wake_.wait(try_again);
 }
 
 // Puts the marker in place of the one with its stamp. The new stamp, or 0: then it has to be read again.
-awaitable<std::uint64_t> Keeper::put(const GenerationMarker& w) {
+awaitable<std::uint64_t> RecoveryCoordinator::put(const GenerationMarker& w) {
     std::vector<state::Change> nothing;
     co_return co_await put_with(w, std::move(nothing));
 }
 
-awaitable<std::uint64_t> Keeper::put_with(const GenerationMarker& w, std::vector<state::Change> with) {
+awaitable<std::uint64_t> RecoveryCoordinator::put_with(const GenerationMarker& w, std::vector<state::Change> with) {
     state::Txn txn;
     if (w.term)
         txn.conditions = leading_conditions(w);
     else
-        txn.conditions.push_back({state::marker_key, w.stamp});
+        txn.conditions.push_back({state::marker_key, w.mod_revision});
     txn.changes = std::move(with);
     txn.changes.push_back({state::marker_key, state::marker_record(w), 0});
-    const auto r = co_await raw_.commit(std::move(txn), Urgency::leadership);
+    const auto r = co_await raw_.commit(std::move(txn), RequestPriority::leadership);
     co_return r.outcome == Outcome::ok ? r.revision : 0;
 }
 
-std::vector<state::Condition> Keeper::leading_conditions(const GenerationMarker& w) const {
+std::vector<state::Condition> RecoveryCoordinator::leading_conditions(const GenerationMarker& w) const {
     std::vector<state::Condition> out;
-    out.push_back({state::marker_key, w.stamp});
+    out.push_back({state::marker_key, w.mod_revision});
     // Without a term of its own nobody rebuilds; the condition that cannot hold says so.
-    out.push_back({election::term_key, term_ ? term_->stamp : 0});
+    out.push_back({election::term_key, term_ ? term_->mod_revision : 0});
     return out;
 }
 
 // From now on nobody relies on the records, on this controller or any other, until one has rebuilt them.
-awaitable<void> Keeper::declare(std::uint64_t over, std::uint64_t generation, std::string why) {
+awaitable<void> RecoveryCoordinator::declare(std::uint64_t over, std::uint64_t generation, std::string why) {
     guarded_.close();
     rebuilding_ = true;
     GenerationMarker w;
     w.generation = std::max(newest_generation(), generation) + 1;
-    w.id = settings_.member + "-" + std::to_string(links_.time_of_day_ms());
+    w.id = settings_.member + "-" + std::to_string(callbacks_.time_of_day_ms());
     w.phase = GenerationMarker::Phase::merging;
     w.beyond_memory = beyond_memory_;
     w.keys_only = doubt_ && records_only_;
-    w.stamp = over;
-    const auto stamp = co_await put(w);
-    if (stamp) forget_doubt();
-    if (stamp)
+    w.mod_revision = over;
+    const auto mod_revision = co_await put(w);
+    if (mod_revision) forget_doubt();
+    if (mod_revision)
         spdlog::error("event=loss_declared generation={} why=\"{}\" over={} remembers={} revision={}", w.generation,
-                      why, over, memory_.size(), memory_.revision());
+                      why, over, replica_.size(), replica_.revision());
     else
         co_await wake_.wait(try_again);
 }
 
 // --- while the records are whole ---
 
-awaitable<void> Keeper::attend(GenerationMarker w) {
+awaitable<void> RecoveryCoordinator::attend(GenerationMarker w) {
     const bool news = !known_ || known_->generation != w.generation || known_->id != w.id;
     if (news) {
         certain_at_ = Clock::now();
         if (!w.missing.empty()) certain_at_ += not_certain_for;
         // What is owed counts as on record, so it must be known before anybody is answered.
-        Memory next;
+        RecordReplica next;
         next.begin(w.generation, w.id, 0);
         const bool read = co_await read_owed(next);
         if (!read) {
             co_await wake_.wait(try_again);
             co_return;
         }
-        std::swap(next, memory_);
+        std::swap(next, replica_);
         if (next.size() && next.id() != w.id) {
             former_ = std::move(next);
             late_added_ = false;
         }
         if (known_ || rebuilding_) {
             // It may not have noticed while they were not.
-            const bool noticed = rebuild_began_ != wire::TimePoint{};
+            const bool noticed = rebuild_began_ != model::TimePoint{};
             spdlog::info("event=records_whole generation={} seconds={:.1f}", w.generation,
-                         noticed ? wire::Seconds(Clock::now() - rebuild_began_).count() : 0.0);
-            links_.rebuilt();
+                         noticed ? model::Seconds(Clock::now() - rebuild_began_).count() : 0.0);
+            callbacks_.rebuilt();
         }
         following_ = false;
         fill_at_.reset();
@@ -350,13 +353,13 @@
     if (!verified_) {
         if (!following_) co_await look();
         if (following_) co_await fill();
-        const bool sound = memory_.whole() && co_await verify();
+        const bool sound = replica_.whole() && co_await verify();
         if (!sound) {
             if (!doubt_) co_await wake_.wait(try_again);
             co_return;
         }
     }
-    guarded_.open(w.stamp);
+    guarded_.open(w.mod_revision);
     auto next_look = Clock::now();
     auto next_owed = next_look + owed_gap;
     while (!doubt_ && !recheck_ && Clock::now() - checked_at_ < check_gap) {
@@ -371,7 +374,7 @@
             co_await fill();
             if (snapshot_file_.in_use()) shelve();
         }
-        if (former_ && !late_added_ && memory_.whole() && Clock::now() >= next_late_) {
+        if (former_ && !late_added_ && replica_.whole() && Clock::now() >= next_late_) {
             next_late_ = Clock::now() + try_again;
             const bool added = co_await add_late();
             late_added_ = added;
@@ -385,7 +388,7 @@
             co_await examine(w);
             if (doubt_) break;
         }
-        if (!term_ && memory_.whole() && Clock::now() >= next_scrub_) {
+        if (!term_ && replica_.whole() && Clock::now() >= next_scrub_) {
             next_scrub_ = Clock::now() + scrub_gap;
             co_await scrub();
         }
@@ -407,9 +410,9 @@
 
 // A term may go by the records once the marker was seen after it was won: whatever is lost later takes the term's own
 // stamp with it, or shows in a revision that went back.
-awaitable<bool> Keeper::confirm(const GenerationMarker& w) {
+awaitable<bool> RecoveryCoordinator::confirm(const GenerationMarker& w) {
     const auto term = *term_;
-    const auto asked = co_await inquiry_.page(state::marker_key, std::string(), Urgency::leadership);
+    const auto asked = co_await consistency_check_.page(state::marker_key, std::string(), RequestPriority::leadership);
     const auto& got = asked.read;
     if (got.outcome != Outcome::ok) {
         co_await wake_.wait(100ms);
@@ -417,7 +420,7 @@
     }
     bool same = false, unsettled = false;
     for (const auto& item : got.items) {
-        same = same || (item.key == state::marker_key && item.stamp == w.stamp);
+        same = same || (item.key == state::marker_key && item.mod_revision == w.mod_revision);
         unsettled = unsettled || item.key == unsettled_key;
     }
     if (!same) co_return false;
@@ -430,43 +433,43 @@
     begun_ = true;
     led_ = term.number;
     saw(led_);
-    links_.begin(term, unsettled);
+    callbacks_.begin(term, unsettled);
     co_return true;
 }
 
 // The highest revision of this history that anybody has told of.
-std::uint64_t Keeper::newest_remembered() const {
-    auto newest = memory_.revision();
+std::uint64_t RecoveryCoordinator::newest_remembered() const {
+    auto newest = replica_.revision();
     for (const auto& [member, word] : peers_)
-        if (word.generation == memory_.generation() && word.id == memory_.id())
+        if (word.generation == replica_.generation() && word.id == replica_.id())
             newest = std::max(newest, word.remembers);
     return newest;
 }
 
 // Follows the records: for the memory, and for whoever must know of cancellations.
-awaitable<void> Keeper::look() {
+awaitable<void> RecoveryCoordinator::look() {
     const auto began = Clock::now();
     if (!following_) {
         // No key comes after this one: the answer only tells where the service stands.
         const auto here = co_await raw_.range(scheduler::jobs_prefix, std::string(scheduler::jobs_prefix) + "~",
-                                              Urgency::bookkeeping);
+                                              RequestPriority::bookkeeping);
         if (here.outcome != Outcome::ok) co_return;
-        if (here.revision < known_->stamp) {
-            doubt("its revisions went back: the marker is of " + std::to_string(known_->stamp) + ", it stands at " +
-                  std::to_string(here.revision));
+        if (here.revision < known_->mod_revision) {
+            doubt("its revisions went back: the marker is of " + std::to_string(known_->mod_revision) +
+                  ", it stands at " + std::to_string(here.revision));
             co_return;
         }
-        const auto so_far = memory_.source("so far");
-        memory_.begin(known_->generation, known_->id, here.revision);
+        const auto so_far = replica_.source("so far");
+        replica_.begin(known_->generation, known_->id, here.revision);
         // What is owed, and what this controller has written meanwhile.
         for (const auto& [key, record] : so_far.records)
-            memory_.written({key, boost::json::parse(record.text), 0}, record.stamp);
+            replica_.written({key, boost::json::parse(record.text), 0}, record.mod_revision);
         following_ = true;
         fill_at_ = std::string();
-        links_.outcomes({}, began, Look::after_a_gap);
+        callbacks_.outcomes({}, began, Look::after_a_gap);
         co_return;
     }
-    auto asked = co_await inquiry_.changes(scheduler::jobs_prefix);
+    auto asked = co_await consistency_check_.changes(scheduler::jobs_prefix);
     auto& seen = asked.seen;
     if (seen.outcome == Outcome::too_old) {
         following_ = false;
@@ -478,25 +481,26 @@
         co_return;
     }
     for (const auto& e : seen.events)
-        if (is_outcome(e.key) && memory_.outcome_of(uid_of(e.key)))
+        if (is_outcome(e.key) && replica_.outcome_of(uid_of(e.key)))
             digested_ = 0;  // one that was put back has a new stamp
-    for (const auto& key : memory_.told(seen)) {
+    for (const auto& key : replica_.told(seen)) {
         spdlog::error("event=removed_by_nobody key={}", key);
         missed(key);
     }
     // Any of them may have placed something by these records, but for those that rebuilt them.
-    saw(links_.seen_term());
-    std::vector<Item> outcomes;
+    saw(callbacks_.seen_term());
+    std::vector<KeyValue> outcomes;
     for (std::size_t i = 0; i < seen.events.size(); ++i)
         if (!seen.deleted[i] && is_outcome(seen.events[i].key)) outcomes.push_back(std::move(seen.events[i]));
-    links_.outcomes(outcomes, began, Look::changes);
+    callbacks_.outcomes(outcomes, began, Look::changes);
 }
 
 // What was on record before. A controller that has just begun reads all of it before it answers anybody: only then can
 // it tell whether what there is is what there was. One that knew the former records reads a page each time.
-awaitable<void> Keeper::fill() {
+awaitable<void> RecoveryCoordinator::fill() {
     while (fill_at_) {
-        const auto asked = co_await inquiry_.page(scheduler::jobs_prefix, *fill_at_, Urgency::bookkeeping);
+        const auto asked =
+            co_await consistency_check_.page(scheduler::jobs_prefix, *fill_at_, RequestPriority::bookkeeping);
         const auto& page = asked.read;
         if (page.outcome != Outcome::ok || !fill_at_) co_return;
         if (asked.went_back) {
@@ -504,36 +508,37 @@
             doubt("its revisions went back to " + std::to_string(page.revision));
             co_return;
         }
-        memory_.page(page.items);
+        replica_.page(page.items);
         if (page.more && !page.items.empty()) {
             fill_at_ = page.items.back().key;
             if (verified_) co_return;
             continue;
         }
         fill_at_.reset();
-        memory_.filled();
-        spdlog::info("event=remembers records={} generation={} revision={}", memory_.size(), memory_.generation(),
-                     memory_.revision());
+        replica_.filled();
+        spdlog::info("event=remembers records={} generation={} revision={}", replica_.size(), replica_.generation(),
+                     replica_.revision());
     }
 }
 
 // Outcomes are never removed, so as many as there were at some revision there must always be.
-awaitable<bool> Keeper::verify() {
+awaitable<bool> RecoveryCoordinator::verify() {
     if (verified_) co_return true;
-    const auto got = co_await raw_.get(digest_key, Urgency::leadership);
+    const auto got = co_await raw_.get(digest_key, RequestPriority::leadership);
     if (got.outcome != Outcome::ok) co_return false;
-    const auto* o = got.item.stamp ? got.item.value.if_object() : nullptr;
+    const auto* o = got.item.mod_revision ? got.item.value.if_object() : nullptr;
     if (o && number(*o, "generation") == known_->generation) {
         // It may tell of what ended while the pages were being read: until all changes up to it are known it says
         // nothing.
-        if (memory_.revision() < number(*o, "revision")) co_await look();
-        if (doubt_ || !following_ || memory_.revision() < number(*o, "revision")) co_return false;
-        const auto now = memory_.digest(number(*o, "revision"));
-        if (now != Memory::Digest{number(*o, "outcomes"), number(*o, "sum")} || memory_.jobs() < number(*o, "jobs")) {
+        if (replica_.revision() < number(*o, "revision")) co_await look();
+        if (doubt_ || !following_ || replica_.revision() < number(*o, "revision")) co_return false;
+        const auto now = replica_.digest(number(*o, "revision"));
+        if (now != RecordReplica::Digest{number(*o, "outcomes"), number(*o, "sum")} ||
+            replica_.jobs() < number(*o, "jobs")) {
             doubt(std::to_string(number(*o, "outcomes")) + " outcomes of " + std::to_string(number(*o, "jobs")) +
                       " jobs were on record at " + std::to_string(number(*o, "revision")) + ", and " +
-                      std::to_string(now.outcomes) + " of " + std::to_string(memory_.jobs()) + " are at " +
-                      std::to_string(memory_.revision()),
+                      std::to_string(now.outcomes) + " of " + std::to_string(replica_.jobs()) + " are at " +
+                      std::to_string(replica_.revision()),
                   Loss::beyond_memory);
             co_return false;
         }
@@ -543,11 +548,11 @@
 }
 
 // Written now and then by the leader, when nobody else has anything to write.
-awaitable<void> Keeper::write_digest() {
-    const auto revision = memory_.revision();
-    const auto digest = memory_.digest(revision);
-    const auto jobs = memory_.jobs_at(revision);
-    if (!memory_.whole() || digest.outcomes + jobs == digested_) co_return;
+awaitable<void> RecoveryCoordinator::write_digest() {
+    const auto revision = replica_.revision();
+    const auto digest = replica_.digest(revision);
+    const auto jobs = replica_.jobs_at(revision);
+    if (!replica_.whole() || digest.outcomes + jobs == digested_) co_return;
     state::Txn txn;
     txn.conditions = leading_conditions(*known_);
     boost::json::object value{{"generation", known_->generation},
@@ -556,7 +561,7 @@
                               {"sum", digest.sum},
                               {"jobs", jobs}};
     txn.changes.push_back({digest_key, std::move(value), 0});
-    const auto r = co_await raw_.commit(std::move(txn), Urgency::bookkeeping);
+    const auto r = co_await raw_.commit(std::move(txn), RequestPriority::bookkeeping);
     if (r.outcome == Outcome::ok) digested_ = digest.outcomes + jobs;
     spdlog::debug("event=digest outcomes={} revision={} outcome={}", digest.outcomes, revision,
                   static_cast<int>(r.outcome));
@@ -565,15 +570,15 @@
 // This controller may have been out of reach while another rebuilt. What it alone had accepted or cancelled is put on
 // record now; nobody else can have answered otherwise, for nobody else knew of it. False if some of it was refused, or
 // had no answer: it has to be tried again, and until then nobody here or elsewhere is certain that a job never was.
-awaitable<bool> Keeper::add_late() {
+awaitable<bool> RecoveryCoordinator::add_late() {
     const auto former = former_->source("former");
     std::size_t added = 0, lost = 0;
     bool all = true;
     for (const auto& [key, record] : former.records) {
         const auto work = scheduler::parse_work_key(key);
         const auto uid = work ? work->uid : key.substr(std::string_view(scheduler::over_prefix).size());
-        const auto present = memory_.outcome_of(uid);
-        const bool cancelled = is_outcome(key) && present && present->state == wire::JobState::open;
+        const auto present = replica_.outcome_of(uid);
+        const bool cancelled = is_outcome(key) && present && present->state == model::JobState::open;
         if (present && !cancelled) continue;
         auto value = boost::json::parse(record.text);
         if (work) {
@@ -588,7 +593,7 @@
         txn.conditions.push_back({scheduler::outcome_key(uid), 0});
         if (!cancelled) txn.conditions.push_back({scheduler::work_key(uid, 0), 0});
         txn.changes.push_back({key, std::move(value), 0});
-        const auto r = co_await guarded_.commit(std::move(txn), Urgency::user);
+        const auto r = co_await guarded_.commit(std::move(txn), RequestPriority::user);
         added += r.outcome == Outcome::ok;
         // After a conflict another's stands there, or a late write of this one.
         all = all && (r.outcome == Outcome::ok || r.outcome == Outcome::conflict || r.outcome == Outcome::too_large);
@@ -598,14 +603,14 @@
     co_return all;
 }
 
-awaitable<bool> Keeper::read_owed(Memory& memory) {
+awaitable<bool> RecoveryCoordinator::read_owed(RecordReplica& replica) {
     owed_.clear();
     const auto items = co_await read_all(owed_prefix);
     if (!items) co_return false;
     for (const auto& item : *items) try {
             auto& uids = owed_[item.key];
             for (const auto& r : wire::decode_archive_text(std::string_view(item.value.as_string()))) {
-                memory.written({r.key, boost::json::parse(r.text), 0}, owed_stamp);
+                replica.written({r.key, boost::json::parse(r.text), 0}, deferred_mod_revision);
                 uids.push_back(r.key.substr(std::string_view(scheduler::over_prefix).size()));
             }
         } catch (const std::exception& e) {
@@ -615,25 +620,25 @@
 }
 
 // Outcomes go back to their places when nobody else has anything to write, and then their page may go.
-awaitable<void> Keeper::pay_back() {
+awaitable<void> RecoveryCoordinator::pay_back() {
     auto page = owed_.begin();
     const auto marker = *known_;
     auto& uids = page->second;
     while (!uids.empty() && !doubt_ && term_ && begun_) {
         state::Txn txn;
-        const auto most = std::min(raw_.write_portion(), form_.limits().txn_ops);
+        const auto most = std::min(raw_.write_portion(), record_format_.limits().txn_ops);
         std::size_t taken = 0;
         for (; taken < uids.size() && txn.changes.size() < most; ++taken) {
             const auto key = scheduler::outcome_key(uids[uids.size() - 1 - taken]);
-            const auto record = memory_.record(key);
-            if (!record || record->stamp > owed_stamp) continue;  // it has its place already
+            const auto record = replica_.record(key);
+            if (!record || record->mod_revision > deferred_mod_revision) continue;  // it has its place already
             txn.conditions.push_back({key, 0});
             txn.changes.push_back({key, boost::json::parse(record->text), 0});
         }
         if (!txn.changes.empty()) {
             for (const auto& c : leading_conditions(marker))
                 if (c.key == election::term_key) txn.conditions.push_back(c);
-            const auto r = co_await guarded_.commit(std::move(txn), Urgency::bookkeeping);
+            const auto r = co_await guarded_.commit(std::move(txn), RequestPriority::bookkeeping);
             if (r.outcome == Outcome::conflict) {
                 recheck_ = true;  // somebody else's are there: they are told by the next look
                 co_return;
@@ -647,7 +652,7 @@
     state::Txn txn;
     txn.conditions = leading_conditions(marker);
     txn.changes.push_back({page->first, std::nullopt, 0});
-    const auto r = co_await raw_.commit(std::move(txn), Urgency::bookkeeping);
+    const auto r = co_await raw_.commit(std::move(txn), RequestPriority::bookkeeping);
     if (r.outcome == Outcome::ok) owed_.erase(owed_.begin());
     if (owed_.empty()) spdlog::info("event=outcomes_back generation={}", marker.generation);
 }
@@ -655,10 +660,10 @@
 // Whether what is neither on record nor remembered never was. Somebody who was not heard when the records were rebuilt
 // may know better, and adds it when he is back; users who ask meanwhile are asked to come again, but not for so long
 // that a job which does exist counts as forgotten.
-bool Keeper::certain() const {
+bool RecoveryCoordinator::certain() const {
     if (!known_ || Clock::now() >= certain_at_) return true;
     return std::all_of(known_->missing.begin(), known_->missing.end(), [&](const std::string& member) {
-        if (member == settings_.member) return memory_.whole() && late_added_;
+        if (member == settings_.member) return replica_.whole() && late_added_;
         const auto it = peers_.find(member);
         return it != peers_.end() && it->second.generation == known_->generation && it->second.remembers > 0;
     });
@@ -666,10 +671,11 @@
 
 // Data can go without any sign. Whoever does not lead reads the records again, a page now and then, and holds them
 // against what it remembers.
-awaitable<void> Keeper::scrub() {
-    const auto asked = co_await inquiry_.page(scheduler::jobs_prefix, scrub_at_, Urgency::bookkeeping);
+awaitable<void> RecoveryCoordinator::scrub() {
+    const auto asked =
+        co_await consistency_check_.page(scheduler::jobs_prefix, scrub_at_, RequestPriority::bookkeeping);
     const auto& page = asked.read;
-    if (page.outcome != Outcome::ok || doubt_ || !memory_.whole()) co_return;
+    if (page.outcome != Outcome::ok || doubt_ || !replica_.whole()) co_return;
     if (asked.went_back) {
         doubt("its revisions went back to " + std::to_string(page.revision));
         co_return;
@@ -682,16 +688,16 @@
 // What looked missing, once more, and judged by a memory that was told of everything up to that second look. If single
 // records are gone that are remembered here, they are put back. Nothing is closed for it, and no term ends: as long as
 // they are gone, GuardedStore passes on no answer that rests on their absence. If more is gone, nobody knows how much.
-awaitable<void> Keeper::examine(const GenerationMarker& w) {
-    if (!memory_.whole() || !following_) co_return;
-    std::vector<Inquiry::Finding> gone;
+awaitable<void> RecoveryCoordinator::examine(const GenerationMarker& w) {
+    if (!replica_.whole() || !following_) co_return;
+    std::vector<ConsistencyCheck::Finding> gone;
     bool swept = false;
     for (;;) {
         std::set<std::string> later;
         while (!suspects_.empty() && gone.size() <= most_put_back) {
             auto key = suspects_.extract(suspects_.begin()).value();
-            auto finding = co_await inquiry_.look_again(std::move(key), Urgency::user);
-            if (doubt_ || !memory_.whole()) co_return;
+            auto finding = co_await consistency_check_.look_again(std::move(key), RequestPriority::user);
+            if (doubt_ || !replica_.whole()) co_return;
             if (finding.verdict == Verdict::unclear) later.insert(finding.key);
             if (finding.verdict == Verdict::gone) gone.push_back(std::move(finding));
         }
@@ -705,18 +711,18 @@
     const auto upto = std::max_element(gone.begin(), gone.end(), [](const auto& a, const auto& b) {
                           return a.revision < b.revision;
                       })->revision;
-    if (memory_.revision() < upto) co_await look();
-    if (doubt_ || !memory_.whole() || memory_.revision() < upto) {
+    if (replica_.revision() < upto) co_await look();
+    if (doubt_ || !replica_.whole() || replica_.revision() < upto) {
         for (auto& finding : gone) suspects_.insert(std::move(finding.key));
         co_return;
     }
-    std::erase_if(gone, [&](const Inquiry::Finding& f) {
-        const auto now = memory_.expected(f.key);
+    std::erase_if(gone, [&](const ConsistencyCheck::Finding& f) {
+        const auto now = replica_.expected(f.key);
         return now == 0 || now > f.revision || (now <= f.there && !f.damaged);
     });
     for (const auto& f : gone)
         spdlog::error("event=record_gone key={} remembers={} there={} revision={} followed={}", f.key,
-                      memory_.expected(f.key), f.there, f.revision, memory_.revision());
+                      replica_.expected(f.key), f.there, f.revision, replica_.revision());
     if (gone.size() > most_put_back)
         doubt(std::to_string(gone.size()) + " records are gone that are remembered, the first of them " + gone[0].key,
               Loss::records);
@@ -725,11 +731,11 @@
 }
 
 // All pages at once. False if that was not possible now.
-awaitable<bool> Keeper::sweep() {
+awaitable<bool> RecoveryCoordinator::sweep() {
     std::string at;
     for (;;) {
-        const auto asked = co_await inquiry_.page(scheduler::jobs_prefix, at, Urgency::user);
-        if (doubt_ || !memory_.whole() || asked.read.outcome != Outcome::ok) co_return false;
+        const auto asked = co_await consistency_check_.page(scheduler::jobs_prefix, at, RequestPriority::user);
+        if (doubt_ || !replica_.whole() || asked.read.outcome != Outcome::ok) co_return false;
         suspects_.insert(asked.missing.begin(), asked.missing.end());
         if (!asked.read.more || asked.read.items.empty()) co_return true;
         at = asked.read.items.back().key;
@@ -739,12 +745,13 @@
 // By conditioned writes: on this history, on what was found there, and on no outcome that somebody wrote meanwhile.
 // What is written is the newest that ever was on record, since the memory was told of everything up to the finding, and
 // from then on whoever wrote it conditioned on the stamp that was lost has failed.
-awaitable<void> Keeper::put_back_few(const GenerationMarker& w, std::vector<Inquiry::Finding> gone) {
+awaitable<void> RecoveryCoordinator::put_back_few(const GenerationMarker& w,
+                                                  std::vector<ConsistencyCheck::Finding> gone) {
     for (auto& f : gone) {
-        const auto record = memory_.record(f.key);
+        const auto record = replica_.record(f.key);
         if (!record) continue;
         state::Txn txn;
-        txn.conditions.push_back({state::marker_key, w.stamp});
+        txn.conditions.push_back({state::marker_key, w.mod_revision});
         txn.conditions.push_back({f.key, f.there});
         if (const auto work = scheduler::parse_work_key(f.key))
             txn.conditions.push_back({scheduler::outcome_key(work->uid), 0});
@@ -752,10 +759,10 @@
         // The digest counts outcomes by stamps; the leader writes another when it sees that one came back.
         if (is_outcome(f.key)) txn.changes.push_back({digest_key, std::nullopt, 0});
         auto change = txn.changes[0];
-        const auto r = co_await raw_.commit(std::move(txn), Urgency::user);
+        const auto r = co_await raw_.commit(std::move(txn), RequestPriority::user);
         if (doubt_) co_return;
         if (r.outcome == Outcome::ok) {
-            memory_.written(change, r.revision);
+            replica_.written(change, r.revision);
             digested_ = 0;
             spdlog::error("event=record_put_back key={} revision={}", f.key, r.revision);
         } else {
@@ -764,58 +771,59 @@
     }
 }
 
-void Keeper::shelve() {
+void RecoveryCoordinator::shelve() {
     const auto now = Clock::now();
-    if (!memory_.whole() || now - shelved_at_ < shelve_gap) return;
+    if (!replica_.whole() || now - shelved_at_ < shelve_gap) return;
     shelved_at_ = now;
-    snapshot_file_.put(memory_.source("memory"));
+    snapshot_file_.put(replica_.source("memory"));
 }
 
 // --- while they are not ---
 
-awaitable<void> Keeper::stand_by(GenerationMarker w) {
+awaitable<void> RecoveryCoordinator::stand_by(GenerationMarker w) {
     guarded_.close();
-    if (!rebuilding_ || rebuild_began_ == wire::TimePoint{}) {
+    if (!rebuilding_ || rebuild_began_ == model::TimePoint{}) {
         rebuild_began_ = Clock::now();
-        spdlog::error("event=records_lost generation={} remembers={} revision={}", w.generation, memory_.size(),
-                      memory_.revision());
+        spdlog::error("event=records_lost generation={} remembers={} revision={}", w.generation, replica_.size(),
+                      replica_.revision());
     }
     rebuilding_ = true;
     if (term_) {
         const bool its_own = w.by == settings_.member && w.term == term_->number;
-        if (!begun_ && (its_own || term_->stamp > w.stamp)) {
+        if (!begun_ && (its_own || term_->mod_revision > w.mod_revision)) {
             co_await rebuild(w);
             co_return;
         }
-        links_.new_term("the state service lost data");
+        callbacks_.new_term("the state service lost data");
     } else if (w.phase == GenerationMarker::Phase::merging && !w.by.empty() &&
-               offered_to_ != w.id + std::to_string(w.stamp)) {
+               offered_to_ != w.id + std::to_string(w.mod_revision)) {
         const bool offered = co_await offer(w);
-        if (offered) offered_to_ = w.id + std::to_string(w.stamp);
+        if (offered) offered_to_ = w.id + std::to_string(w.mod_revision);
     }
     co_await wake_.wait(stand_gap);
 }
 
-std::vector<Source> Keeper::own_sources(const std::string& of, std::uint64_t remembers) const {
-    std::vector<Source> out;
-    for (const auto* memory : {&memory_, former_ ? &*former_ : nullptr}) {
-        if (!memory || !memory->generation()) continue;
-        const bool partly = !of.empty() && memory->id() == of;
-        out.push_back(memory->source(settings_.member, partly ? remembers : 0));
+std::vector<ReplicaContents> RecoveryCoordinator::own_sources(const std::string& of, std::uint64_t remembers) const {
+    std::vector<ReplicaContents> out;
+    for (const auto* replica : {&replica_, former_ ? &*former_ : nullptr}) {
+        if (!replica || !replica->generation()) continue;
+        const bool partly = !of.empty() && replica->id() == of;
+        out.push_back(replica->source(settings_.member, partly ? remembers : 0));
     }
     return out;
 }
 
 // Pages of text that a value can hold, as keys and values.
-std::vector<std::pair<std::string, std::string>> Keeper::pages(const std::string& prefix, const Source& source) const {
+std::vector<std::pair<std::string, std::string>> RecoveryCoordinator::pages(const std::string& prefix,
+                                                                            const ReplicaContents& source) const {
     std::vector<wire::ArchivedRecord> records;
-    for (const auto& [key, record] : source.records) records.push_back({key, record.stamp, record.text});
+    for (const auto& [key, record] : source.records) records.push_back({key, record.mod_revision, record.text});
     std::vector<std::pair<std::string, std::string>> out;
     std::size_t per_page = first_page;
     for (std::size_t at = 0; at < records.size();) {
         auto count = std::min(per_page, records.size() - at);
         auto text = wire::encode_archive_text({records.data() + at, count});
-        while (count > 1 && !form_.fits(boost::json::string(text))) {
+        while (count > 1 && !record_format_.fits(boost::json::string(text))) {
             count = per_page = (count + 1) / 2;
             text = wire::encode_archive_text({records.data() + at, count});
         }
@@ -827,15 +835,15 @@
 
 // What this controller remembers and the rebuilder may not, page by page, and then a key that says so. The rebuilder
 // puts down all of its own before it waits for others: if all end meanwhile, the next one finds it.
-awaitable<bool> Keeper::offer(const GenerationMarker& w) {
+awaitable<bool> RecoveryCoordinator::offer(const GenerationMarker& w) {
     const std::string mine = offers_prefix + settings_.member;
     // What a former life of this controller put down is all that is left of what that remembered.
-    const auto before = co_await raw_.get(mine, Urgency::user);
+    const auto before = co_await raw_.get(mine, RequestPriority::user);
     if (before.outcome != Outcome::ok) co_return false;
     boost::json::array sources;
     auto led = led_;
     auto seen = seen_;
-    if (const auto* header = before.item.stamp ? before.item.value.if_object() : nullptr) {
+    if (const auto* header = before.item.mod_revision ? before.item.value.if_object() : nullptr) {
         if (const auto* list = header->if_contains("sources"); list && list->is_array()) sources = list->get_array();
         if (!led) led = number(*header, "led");
         seen.merge(terms_in(*header));
@@ -846,13 +854,13 @@
         if (source.records.empty() && !source.whole) continue;
         // Pages of a former life may still be on their way, and must not take the place of these.
         const auto prefix =
-            mine + "/" + std::to_string(links_.incarnation) + "." + std::to_string(sources.size()) + ".";
+            mine + "/" + std::to_string(callbacks_.incarnation) + "." + std::to_string(sources.size()) + ".";
         const auto all = pages(prefix, source);
         for (const auto& [key, text] : all) {
             state::Txn txn;
-            txn.conditions.push_back({state::marker_key, w.stamp});
+            txn.conditions.push_back({state::marker_key, w.mod_revision});
             txn.changes.push_back({key, boost::json::string(text), 0});
-            const auto r = co_await raw_.commit(std::move(txn), Urgency::user);
+            const auto r = co_await raw_.commit(std::move(txn), RequestPriority::user);
             if (r.outcome != Outcome::ok) co_return false;
         }
         boost::json::object entry{
@@ -863,21 +871,21 @@
                      source.revision);
     }
     state::Txn txn;
-    txn.conditions.push_back({state::marker_key, w.stamp});
-    txn.conditions.push_back({mine, before.item.stamp});  // nor must a former life's list, or an earlier one
-    boost::json::object header{{"for", w.stamp},
+    txn.conditions.push_back({state::marker_key, w.mod_revision});
+    txn.conditions.push_back({mine, before.item.mod_revision});  // nor must a former life's list, or an earlier one
+    boost::json::object header{{"for", w.mod_revision},
                                {"led", led},
                                {"seen", boost::json::array(seen.begin(), seen.end())},
                                {"unsettled", unsettled()},
                                {"sources", std::move(sources)}};
     txn.changes.push_back({mine, std::move(header), 0});
-    const auto r = co_await raw_.commit(std::move(txn), Urgency::user);
+    const auto r = co_await raw_.commit(std::move(txn), RequestPriority::user);
     co_return r.outcome == Outcome::ok;
 }
 
-Source Keeper::offered(const std::string& member, std::size_t k, const boost::json::value& entry,
-                       const std::map<std::string, const Item*>& by_key) const {
-    Source s;
+ReplicaContents RecoveryCoordinator::offered(const std::string& member, std::size_t k, const boost::json::value& entry,
+                                             const std::map<std::string, const KeyValue*>& by_key) const {
+    ReplicaContents s;
     s.from = member;
     const auto* o = entry.if_object();
     if (!o) return s;
@@ -890,9 +898,9 @@
     for (std::uint64_t n = 0; n < number(*o, "pages"); ++n) {
         const auto page = by_key.find(prefix + std::to_string(n));
         try {
-            if (page == by_key.end()) throw wire::BadBody("missing");
+            if (page == by_key.end()) throw wire::DecodeError("missing");
             for (auto& r : wire::decode_archive_text(std::string_view(page->second->value.as_string())))
-                s.records.emplace(std::move(r.key), Record{r.stamp, std::move(r.text)});
+                s.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
         } catch (const std::exception& e) {
             spdlog::error("event=offer_unreadable member={} page={} why=\"{}\"", member, n, e.what());
             s.whole = false;
@@ -902,11 +910,12 @@
 }
 
 // The offers that were made for this marker; nothing while one is still to be waited for.
-std::optional<Keeper::Gathered> Keeper::read_offers(const GenerationMarker& w, const std::vector<Item>& items,
-                                                    bool last_call) const {
+std::optional<RecoveryCoordinator::Gathered> RecoveryCoordinator::read_offers(const GenerationMarker& w,
+                                                                              const std::vector<KeyValue>& items,
+                                                                              bool last_call) const {
     Gathered out;
     out.sources = own_sources({}, 0);
-    std::map<std::string, const Item*> by_key;
+    std::map<std::string, const KeyValue*> by_key;
     for (const auto& item : items) by_key[item.key] = &item;
     auto seen = seen_;
     bool still_unsettled = unsettled();
@@ -916,7 +925,7 @@
     for (const auto& member : members) {
         const auto it = by_key.find(offers_prefix + member);
         const auto* header = it == by_key.end() ? nullptr : it->second->value.if_object();
-        if (member != settings_.member && (!header || number(*header, "for") != w.stamp)) {
+        if (member != settings_.member && (!header || number(*header, "for") != w.mod_revision)) {
             const auto word = peers_.find(member);
             const bool there = word != peers_.end() && Clock::now() - word->second.heard < peer_fresh;
             if (!last_call && (there || Clock::now() - rebuild_began_ < offers_at_least)) return std::nullopt;
@@ -939,7 +948,7 @@
     return out;
 }
 
-awaitable<std::optional<Keeper::Gathered>> Keeper::gather(const GenerationMarker& w) {
+awaitable<std::optional<RecoveryCoordinator::Gathered>> RecoveryCoordinator::gather(const GenerationMarker& w) {
     const auto until = Clock::now() + offers_at_most;
     for (;;) {
         const bool last_call = Clock::now() >= until;
@@ -952,11 +961,11 @@
     }
 }
 
-awaitable<std::optional<std::vector<state::Item>>> Keeper::read_all(std::string prefix) {
-    std::vector<Item> out;
+awaitable<std::optional<std::vector<state::KeyValue>>> RecoveryCoordinator::read_all(std::string prefix) {
+    std::vector<KeyValue> out;
     std::string after;
     for (int tries = 0; tries < 40;) {
-        auto page = co_await raw_.range(prefix, after, Urgency::leadership);
+        auto page = co_await raw_.range(prefix, after, RequestPriority::leadership);
         if (page.outcome != Outcome::ok) {
             ++tries;
             co_await net::sleep_for(try_again);
@@ -969,37 +978,37 @@
     co_return std::nullopt;
 }
 
-awaitable<std::optional<Keeper::Present>> Keeper::present() {
+awaitable<std::optional<RecoveryCoordinator::Present>> RecoveryCoordinator::present() {
     auto items = co_await read_all(scheduler::jobs_prefix);
     if (!items) co_return std::nullopt;
     Present out;
     out.source.from = "state service";
     for (const auto& item : *items) {
-        out.stamps[item.key] = item.stamp;
-        out.source.records.emplace(item.key, Record{item.stamp, boost::json::serialize(item.value)});
+        out.mod_revisions[item.key] = item.mod_revision;
+        out.source.records.emplace(item.key, Record{item.mod_revision, boost::json::serialize(item.value)});
     }
     co_return std::optional(std::move(out));
 }
 
-awaitable<void> Keeper::rebuild(GenerationMarker w) {
+awaitable<void> RecoveryCoordinator::rebuild(GenerationMarker w) {
     const auto term = term_->number;
     const auto still = [&] { return term_ && term_->number == term; };
-    if (rebuild_began_ == wire::TimePoint{}) rebuild_began_ = Clock::now();
+    if (rebuild_began_ == model::TimePoint{}) rebuild_began_ = Clock::now();
     // 1. Say who rebuilds, and up to where this controller itself remembers.
     w.phase = GenerationMarker::Phase::merging;
     w.by = settings_.member;
     w.term = term;
-    w.of = memory_.whole() ? memory_.id() : std::string();
-    w.remembers = memory_.revision();
+    w.of = replica_.whole() ? replica_.id() : std::string();
+    w.remembers = replica_.revision();
     if (std::find(w.rebuilders.begin(), w.rebuilders.end(), term) == w.rebuilders.end()) w.rebuilders.push_back(term);
     const auto first = co_await put(w);
     if (!first) {
         co_await wake_.wait(try_again);
         co_return;
     }
-    w.stamp = first;
-    spdlog::info("event=rebuilding generation={} term={} remembers={} revision={}", w.generation, term, memory_.size(),
-                 memory_.revision());
+    w.mod_revision = first;
+    spdlog::info("event=rebuilding generation={} term={} remembers={} revision={}", w.generation, term, replica_.size(),
+                 replica_.revision());
     const bool put_down = co_await offer(w);
     if (!put_down || !still()) co_return;
     // 2. What everybody remembers, and what the service still has.
@@ -1015,21 +1024,21 @@
     const auto merged = merge(gathered->sources, there->source);
     for (const auto& doubt : merged.doubts) spdlog::error("event=record_lost what=\"{}\"", doubt);
     // Nobody can cancel anything before the records are whole again, so if all have told, all cancellations are known.
-    std::vector<Item> outcomes;
+    std::vector<KeyValue> outcomes;
     for (const auto& [key, text] : merged.records)
         if (is_outcome(key)) {
-            Item item;
+            KeyValue item;
             item.key = key;
             item.value = boost::json::parse(text);
-            item.stamp = 1;
+            item.mod_revision = 1;
             outcomes.push_back(std::move(item));
         }
-    links_.outcomes(outcomes, Clock::now(), gathered->missing.empty() ? Look::all : Look::changes);
+    callbacks_.outcomes(outcomes, Clock::now(), gathered->missing.empty() ? Look::all : Look::changes);
     // 3. Write it back.
     w.phase = GenerationMarker::Phase::restoring;
     const auto second = co_await put(w);
     if (!second || !still()) co_return;
-    w.stamp = second;
+    w.mod_revision = second;
     std::size_t restored = 0;
     for (bool more = true; more;) {
         const auto missing = co_await restore(w, merged, std::move(*there));
@@ -1065,9 +1074,10 @@
     clear_offers_ = true;
 }
 
-awaitable<std::optional<std::size_t>> Keeper::restore(const GenerationMarker& w, const Merged& merged, Present there) {
+awaitable<std::optional<std::size_t>> RecoveryCoordinator::restore(const GenerationMarker& w, const Merged& merged,
+                                                                   Present there) {
     std::vector<std::pair<int, state::Change>> missing;
-    Source owed;
+    ReplicaContents owed;
     for (const auto& [key, text] : merged.records) {
         const auto kept = there.source.records.find(key);
         auto value = boost::json::parse(text);
@@ -1093,22 +1103,22 @@
     const auto flush = [&] { return std::exchange(changes, {}); };
     for (std::size_t i = 0; i < missing.size(); ++i) {
         changes.push_back(std::move(missing[i].second));
-        const auto most = std::min<std::size_t>({raw_.write_portion(), form_.limits().txn_ops, 24});
+        const auto most = std::min<std::size_t>({raw_.write_portion(), record_format_.limits().txn_ops, 24});
         std::size_t bytes = 0;
-        for (const auto& c : changes) bytes += state::Form::size_of(*c.value);
+        for (const auto& c : changes) bytes += state::RecordFormat::size_of(*c.value);
         if (i + 1 < missing.size() && changes.size() < most && bytes < 30'000) continue;
         auto batch = flush();
-        const bool put = co_await put_back(w, std::move(batch), there.stamps);
+        const bool put = co_await put_back(w, std::move(batch), there.mod_revisions);
         if (!put) co_return std::nullopt;
     }
     if (owed.records.empty()) co_return std::optional(missing.size());
-    std::map<std::string, std::uint64_t> stamps;
+    std::map<std::string, std::uint64_t> mod_revisions;
     const auto former = co_await read_all(owed_prefix);
     if (!former) co_return std::nullopt;
     // Pages of a rebuilding that was interrupted, or of an earlier round of this one, owe some of it already.
     std::size_t number = 0;
     for (const auto& item : *former) {
-        stamps[item.key] = item.stamp;
+        mod_revisions[item.key] = item.mod_revision;
         const auto tail = item.key.substr(std::string_view(owed_prefix).size());
         number = std::max(number, static_cast<std::size_t>(std::strtoull(tail.c_str(), nullptr, 10)) + 1);
         try {
@@ -1123,28 +1133,28 @@
         std::vector<state::Change> page;
         page.push_back({owed_prefix + std::to_string(number + std::strtoull(key.c_str(), nullptr, 10)),
                         boost::json::string(text), 0});
-        const bool put = co_await put_back(w, std::move(page), stamps);
+        const bool put = co_await put_back(w, std::move(page), mod_revisions);
         if (!put) co_return std::nullopt;
     }
     co_return std::optional(missing.size() + fresh);
 }
 
 // Until they are on record, or somebody else rebuilds.
-awaitable<bool> Keeper::put_back(const GenerationMarker& w, std::vector<state::Change> changes,
-                                 std::map<std::string, std::uint64_t>& stamps) {
+awaitable<bool> RecoveryCoordinator::put_back(const GenerationMarker& w, std::vector<state::Change> changes,
+                                              std::map<std::string, std::uint64_t>& mod_revisions) {
     for (;;) {
         state::Txn txn;
         txn.conditions = leading_conditions(w);
         for (const auto& c : changes) {
-            const auto it = stamps.find(c.key);
-            txn.conditions.push_back({c.key, it == stamps.end() ? 0 : it->second});
+            const auto it = mod_revisions.find(c.key);
+            txn.conditions.push_back({c.key, it == mod_revisions.end() ? 0 : it->second});
         }
         txn.changes = changes;
         const auto began = Clock::now();
-        const auto r = co_await raw_.commit(std::move(txn), Urgency::user);
+        const auto r = co_await raw_.commit(std::move(txn), RequestPriority::user);
         if (!term_) co_return false;
         if (r.outcome == Outcome::ok) {
-            links_.outcomes({}, began, Look::changes);
+            callbacks_.outcomes({}, began, Look::changes);
             co_return true;
         }
         const auto failed = [&](const char* key) {
@@ -1160,7 +1170,7 @@
             for (auto& c : changes) {
                 std::vector<state::Change> one;
                 one.push_back(std::move(c));
-                const bool put = co_await put_back(w, std::move(one), stamps);
+                const bool put = co_await put_back(w, std::move(one), mod_revisions);
                 if (!put) co_return false;
             }
             co_return true;
@@ -1169,21 +1179,23 @@
         if (r.outcome == Outcome::refused) continue;
         // A lost or late write of this rebuilding may stand.
         for (const auto& c : changes) {
-            const auto got = co_await raw_.get(c.key, Urgency::user);
-            if (got.outcome == Outcome::ok) stamps[c.key] = got.item.stamp;
+            const auto got = co_await raw_.get(c.key, RequestPriority::user);
+            if (got.outcome == Outcome::ok) mod_revisions[c.key] = got.item.mod_revision;
         }
     }
 }
 
-awaitable<void> Keeper::remove_all(std::string prefix, std::vector<state::Condition> conditions) {
+awaitable<void> RecoveryCoordinator::remove_all(std::string prefix, std::vector<state::Condition> conditions) {
     const auto items = co_await read_all(std::move(prefix));
     if (!items) co_return;
     for (std::size_t at = 0; at < items->size();) {
         state::Txn txn;
         txn.conditions = conditions;
-        for (; at < items->size() && txn.changes.size() < std::min(raw_.write_portion(), form_.limits().txn_ops); ++at)
+        for (;
+             at < items->size() && txn.changes.size() < std::min(raw_.write_portion(), record_format_.limits().txn_ops);
+             ++at)
             txn.changes.push_back({(*items)[at].key, std::nullopt, 0});
-        const auto r = co_await raw_.commit(std::move(txn), Urgency::bookkeeping);
+        const auto r = co_await raw_.commit(std::move(txn), RequestPriority::bookkeeping);
         if (r.outcome != Outcome::ok) co_return;  // the next rebuilding overwrites them
     }
 }
--- a/src/recovery/keeper.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -8,12 +8,14 @@
 
 #include "config/settings.hpp"
 #include "election/elector.hpp"
-#include "recovery/inquiry.hpp"
-#include "recovery/memory.hpp"
+#include "model/clock.hpp"
+#include "model/heartbeat.hpp"
+#include "recovery/consistency_check.hpp"
+#include "recovery/record_replica.hpp"
 #include "recovery/snapshot_file.hpp"
-#include "state/form.hpp"
 #include "state/generation_marker.hpp"
 #include "state/guarded_store.hpp"
+#include "state/record_format.hpp"
 
 namespace flintdale::recovery {
 
@@ -27,24 +29,25 @@
 inline constexpr const char* owed_prefix = "recovery/owed/";
 inline constexpr const char* unsettled_key = "recovery/witness/unsettled";
 
-class Keeper {
+class RecoveryCoordinator {
   public:
-    struct Links {
+    struct Callbacks {
         std::function<std::int64_t()> time_of_day_ms;
         // The records are whole, and this term may go by them. `unsettled`: tasks may be on machines without a record.
         std::function<void(election::Term, bool unsettled)> begin;
         std::function<void(const char* why)> new_term;  // a term that began before the loss must end
         // A look at the outcomes that began then showed these.
         enum class Look : std::uint8_t { after_a_gap, changes, all };
-        std::function<void(const std::vector<state::Item>&, wire::TimePoint began, Look look)> outcomes;
+        std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, Look look)> outcomes;
         std::function<void()> rebuilt;  // the records are whole again, and may be others
         std::function<std::uint64_t()> seen_term;
         std::uint64_t incarnation = 0;  // of this controller: another one each time that it is started
     };
 
     // `raw` is the service itself, `guarded` what the rest of the process uses.
-    Keeper(net::Executor ex, state::Store& raw, state::GuardedStore& guarded, const config::Settings& settings,
-           const state::Form& form, SnapshotFile snapshot_file, Links links);
+    RecoveryCoordinator(net::Executor ex, state::Store& raw, state::GuardedStore& guarded,
+                        const config::Settings& settings, const state::RecordFormat& record_format,
+                        SnapshotFile snapshot_file, Callbacks callbacks);
 
     awaitable<void> run();
 
@@ -58,26 +61,26 @@
     // An answer showed this key absent, or older than it was remembered to be. Nothing is concluded from that alone: it
     // is looked at again, and put back if it and few others are gone.
     void missed(const std::string& key);
-    void written(const state::Change& change, std::uint64_t revision) { memory_.written(change, revision); }
+    void written(const state::Change& change, std::uint64_t revision) { replica_.written(change, revision); }
     // All machines have been heard since the records were rebuilt.
     void settled() { settled_ = true; }
     // Users were told what this record says.
-    void told(const state::Item& item) { memory_.written({item.key, item.value, 0}, item.stamp); }
+    void told(const state::KeyValue& item) { replica_.written({item.key, item.value, 0}, item.mod_revision); }
     // What a peer said of itself: the generation it knows, 0 if none, and up to where it remembers that.
-    struct PeerWord {
+    struct PeerRecordsStatus {
         std::uint64_t generation = 0, remembers = 0;
         std::string id;
         std::uint64_t rebuilding = 0;  // the generation that it sees being rebuilt, 0 if none
-        wire::TimePoint heard{};
+        model::TimePoint heard{};
     };
-    void heard(const std::string& member, PeerWord word);
-    PeerWord own_word() const;
+    void heard(const std::string& member, PeerRecordsStatus word);
+    PeerRecordsStatus own_status() const;
     // Jobs that a worker shows while the records are not whole, to be missed if nobody remembers them.
-    void shown(const wire::WorkerReport& report);
+    void shown(const model::Heartbeat& report);
 
     // The outcome of a job that is remembered, and whether it is remembered at all. What is not on record and yet
     // remembered is either owed, or was lost.
-    std::optional<Memory::Outcome> outcome_of(const std::string& uid) const { return memory_.outcome_of(uid); }
+    std::optional<RecordReplica::Outcome> outcome_of(const std::string& uid) const { return replica_.outcome_of(uid); }
 
     // Whether a job that is neither on record nor remembered never was.
     bool certain() const;
@@ -86,18 +89,18 @@
     bool rebuilding() const { return rebuilding_; }
     // The term under which the records were rebuilt last; of those below it none need be on record.
     std::uint64_t rebuilt_under() const { return known_ ? known_->term : 0; }
-    const Memory& memory() const { return memory_; }
+    const RecordReplica& replica() const { return replica_; }
 
   private:
     using GenerationMarker = state::GenerationMarker;
-    using Item = state::Item;
+    using KeyValue = state::KeyValue;
     struct Present {
-        Source source;
-        std::map<std::string, std::uint64_t> stamps;
+        ReplicaContents source;
+        std::map<std::string, std::uint64_t> mod_revisions;
     };
     // Everything that was offered, and whether the last leader's own memory is among it.
     struct Gathered {
-        std::vector<Source> sources;
+        std::vector<ReplicaContents> sources;
         std::vector<std::string> missing;  // controllers that made none
         bool placements_known = false;
     };
@@ -124,7 +127,7 @@
 
     // While the records are whole.
     awaitable<void> attend(GenerationMarker marker);
-    awaitable<bool> read_owed(Memory& memory);
+    awaitable<bool> read_owed(RecordReplica& replica);
     awaitable<bool> confirm(const GenerationMarker& marker);
     awaitable<void> look();
     awaitable<void> fill();
@@ -132,7 +135,7 @@
     awaitable<void> scrub();
     awaitable<void> examine(const GenerationMarker& marker);
     awaitable<bool> sweep();
-    awaitable<void> put_back_few(const GenerationMarker& marker, std::vector<Inquiry::Finding> gone);
+    awaitable<void> put_back_few(const GenerationMarker& marker, std::vector<ConsistencyCheck::Finding> gone);
     awaitable<void> write_digest();
     awaitable<bool> add_late();
     awaitable<void> pay_back();
@@ -141,49 +144,50 @@
     // While they are not.
     awaitable<void> stand_by(GenerationMarker marker);
     awaitable<bool> offer(const GenerationMarker& marker);
-    std::vector<Source> own_sources(const std::string& of, std::uint64_t remembers) const;
+    std::vector<ReplicaContents> own_sources(const std::string& of, std::uint64_t remembers) const;
     awaitable<void> rebuild(GenerationMarker marker);
     awaitable<std::optional<Gathered>> gather(const GenerationMarker& marker);
-    Source offered(const std::string& member, std::size_t k, const boost::json::value& entry,
-                   const std::map<std::string, const Item*>& by_key) const;
-    std::optional<Gathered> read_offers(const GenerationMarker& marker, const std::vector<Item>& items,
+    ReplicaContents offered(const std::string& member, std::size_t k, const boost::json::value& entry,
+                            const std::map<std::string, const KeyValue*>& by_key) const;
+    std::optional<Gathered> read_offers(const GenerationMarker& marker, const std::vector<KeyValue>& items,
                                         bool last_call) const;
     awaitable<std::optional<Present>> present();
     // How many records were missing, or nothing if it was interrupted.
     awaitable<std::optional<std::size_t>> restore(const GenerationMarker& marker, const Merged& merged,
                                                   Present present);
     awaitable<bool> put_back(const GenerationMarker& marker, std::vector<state::Change> changes,
-                             std::map<std::string, std::uint64_t>& stamps);
-    awaitable<std::optional<std::vector<Item>>> read_all(std::string prefix);
+                             std::map<std::string, std::uint64_t>& mod_revisions);
+    awaitable<std::optional<std::vector<KeyValue>>> read_all(std::string prefix);
     awaitable<void> remove_all(std::string prefix, std::vector<state::Condition> conditions);
-    std::vector<std::pair<std::string, std::string>> pages(const std::string& prefix, const Source& source) const;
+    std::vector<std::pair<std::string, std::string>> pages(const std::string& prefix,
+                                                           const ReplicaContents& source) const;
     std::vector<state::Condition> leading_conditions(const GenerationMarker& marker) const;
 
     state::Store& raw_;
     state::GuardedStore& guarded_;
     const config::Settings& settings_;
-    const state::Form& form_;
+    const state::RecordFormat& record_format_;
     SnapshotFile snapshot_file_;
-    Links links_;
+    Callbacks callbacks_;
     net::Wakeup wake_;
 
     std::optional<GenerationMarker> known_;             // the newest that was whole
     std::optional<std::string> doubt_;                  // why it may be so no more
     bool beyond_memory_ = false, records_only_ = true;  // all that has been doubted
     bool recheck_ = false;                              // the marker should be read again
-    wire::TimePoint began_{}, checked_at_{}, shelved_at_{}, rebuild_began_{};
-    std::unordered_map<std::string, PeerWord> peers_;
+    model::TimePoint began_{}, checked_at_{}, shelved_at_{}, rebuild_began_{};
+    std::unordered_map<std::string, PeerRecordsStatus> peers_;
 
-    Memory memory_;
-    Inquiry inquiry_;
+    RecordReplica replica_;
+    ConsistencyCheck consistency_check_;
     std::set<std::string> suspects_;  // keys to be looked at again
-    wire::TimePoint next_look_again_{};
-    std::optional<Memory> former_;  // of the history before, until what only it holds is on record
+    model::TimePoint next_look_again_{};
+    std::optional<RecordReplica> former_;  // of the history before, until what only it holds is on record
     bool following_ = false;
     bool verified_ = false;       // what there was when this controller began is all there should have been
     std::uint64_t digested_ = 0;  // what the last digest counted
     bool late_added_ = true;      // what only former_ holds is on record
-    wire::TimePoint next_digest_{}, next_scrub_{}, certain_at_{}, former_until_{}, next_late_{};
+    model::TimePoint next_digest_{}, next_scrub_{}, certain_at_{}, former_until_{}, next_late_{};
     std::string scrub_at_;                // the last key that was held against the memory
     std::optional<std::string> fill_at_;  // the last key of the pages read so far; nothing once all are
     std::map<std::string, std::vector<std::string>> owed_;  // page -> jobs whose outcomes are in it
@@ -191,7 +195,7 @@
     std::optional<election::Term> term_;
     bool begun_ = false;            // the leader_term of that term
     bool settled_ = false;          // as far as this controller has seen, since the last rebuilding
-    std::uint64_t led_ = 0;         // the last term in the history of memory_ that it reigned in,
+    std::uint64_t led_ = 0;         // the last term in the history of replica_ that it reigned in,
     std::set<std::uint64_t> seen_;  // and the highest that were about
     bool rebuilding_ = false, clear_offers_ = false;
     std::string offered_to_;  // the marker, by identity and stamp
--- a/src/recovery/snapshot_file.cpp
+++ b/src/recovery/snapshot_file.cpp
@@ -51,7 +51,9 @@
 }
 
 // Sorts as the snapshots were made: by generation, then by revision.
-std::string name_of(const Source& s) { return fmt::format("{:020}-{:020}{}", s.generation, s.revision, ending); }
+std::string name_of(const ReplicaContents& s) {
+    return fmt::format("{:020}-{:020}{}", s.generation, s.revision, ending);
+}
 
 std::vector<fs::path> snapshots(const fs::path& directory) {
     std::vector<fs::path> out;
@@ -63,36 +65,36 @@
 }
 
 // Throws unless the file is whole to its last byte.
-Source read(const fs::path& path) {
+ReplicaContents read(const fs::path& path) {
     std::ifstream in(path, std::ios::binary);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
     std::string_view rest(bytes);
-    if (!rest.starts_with(magic)) throw wire::BadBody("no snapshot of ours");
+    if (!rest.starts_with(magic)) throw wire::DecodeError("no snapshot of ours");
     rest.remove_prefix(magic.size());
     std::vector<std::vector<wire::ArchivedRecord>> pages;
     while (!rest.empty()) {
-        if (rest.size() < 4) throw wire::BadBody("torn");
+        if (rest.size() < 4) throw wire::DecodeError("torn");
         std::size_t size = 0;
         for (int i = 3; i >= 0; --i) size = size << 8 | static_cast<unsigned char>(rest[static_cast<std::size_t>(i)]);
         rest.remove_prefix(4);
-        if (rest.size() < size) throw wire::BadBody("torn");
+        if (rest.size() < size) throw wire::DecodeError("torn");
         pages.push_back(wire::decode_archive(rest.substr(0, size)));
         rest.remove_prefix(size);
     }
-    if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key) throw wire::BadBody("no header");
+    if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key) throw wire::DecodeError("no header");
     const auto header = wire::parse_object(pages[0][0].text);
-    if (header.at("pages").to_number<std::size_t>() + 1 != pages.size()) throw wire::BadBody("torn");
-    Source out;
+    if (header.at("pages").to_number<std::size_t>() + 1 != pages.size()) throw wire::DecodeError("torn");
+    ReplicaContents out;
     out.from = "snapshot " + path.filename().string();
     out.generation = header.at("generation").to_number<std::uint64_t>();
     out.revision = header.at("revision").to_number<std::uint64_t>();
     out.id = std::string(header.at("id").as_string());
     for (std::size_t i = 1; i < pages.size(); ++i)
-        for (auto& r : pages[i]) out.records.emplace(std::move(r.key), Record{r.stamp, std::move(r.text)});
+        for (auto& r : pages[i]) out.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
     return out;
 }
 
-void write(const fs::path& path, const Source& source) {
+void write(const fs::path& path, const ReplicaContents& source) {
     std::vector<std::string> pages;
     std::vector<wire::ArchivedRecord> page;
     const auto flush = [&] {
@@ -100,7 +102,7 @@
         page.clear();
     };
     for (const auto& [key, record] : source.records) {
-        page.push_back({key, record.stamp, record.text});
+        page.push_back({key, record.mod_revision, record.text});
         if (page.size() == page_records) flush();
     }
     flush();
@@ -117,7 +119,7 @@
 
 }  // namespace
 
-bool SnapshotFile::put(const Source& source) {
+bool SnapshotFile::put(const ReplicaContents& source) {
     const auto target = directory_ / name_of(source);
     const auto temporary = directory_ / (name_of(source) + ".part");
     try {
@@ -137,7 +139,7 @@
     }
 }
 
-std::optional<Source> SnapshotFile::newest() const {
+std::optional<ReplicaContents> SnapshotFile::newest() const {
     if (!in_use()) return std::nullopt;
     for (const auto& path : snapshots(directory_)) try {
             return read(path);
--- a/src/recovery/snapshot_file.hpp
+++ b/src/recovery/snapshot_file.hpp
@@ -15,9 +15,9 @@
     bool in_use() const { return !directory_.empty(); }
     // Writes it beside the former one, which is removed only when this one is whole on the disk: a crash at any moment,
     // or a disk that is full, leaves the former. False, with a line in the log, if it could not be written.
-    bool put(const Source& source);
+    bool put(const ReplicaContents& source);
     // The newest that is whole; nothing if there is none.
-    std::optional<Source> newest() const;
+    std::optional<ReplicaContents> newest() const;
 
   private:
     std::filesystem::path directory_;
--- a/src/scheduler/prerequisites.cpp
+++ b/src/scheduler/dependency_graph.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/prerequisites.hpp"
+#include "scheduler/dependency_graph.hpp"
 
 #include <algorithm>
 
@@ -8,18 +8,18 @@
 constexpr std::size_t max_past = 10'000;
 }  // namespace
 
-Prerequisites::Node* Prerequisites::find(const std::string& uid) {
+DependencyGraph::Node* DependencyGraph::find(const std::string& uid) {
     const auto it = nodes_.find(uid);
     return it == nodes_.end() ? nullptr : &it->second;
 }
 
-const Prerequisites::Node* Prerequisites::find(const std::string& uid) const {
+const DependencyGraph::Node* DependencyGraph::find(const std::string& uid) const {
     const auto it = nodes_.find(uid);
     return it == nodes_.end() ? nullptr : &it->second;
 }
 
-Prerequisites::News Prerequisites::opened(const std::string& uid, wire::Rank rank,
-                                          const std::vector<std::string>& needs) {
+DependencyGraph::News DependencyGraph::opened(const std::string& uid, model::Priority priority,
+                                              const std::vector<std::string>& needs) {
     News news;
     unknown_.erase(uid);
     {
@@ -27,10 +27,10 @@
         // News of its end may have come before that of its beginning.
         if (node.fate != Fate::unknown) return news;
         node.fate = Fate::open;
-        node.own = rank;
+        node.own = priority;
         // Jobs that need it may have come to be known before it.
-        node.rank = std::max(node.rank, rank);
-        if (node.rank != rank) news.reranked.push_back(uid);
+        node.priority = std::max(node.priority, priority);
+        if (node.priority != priority) news.priority_changed.push_back(uid);
         node.needs = needs;
     }
     bool doomed = false;
@@ -51,12 +51,12 @@
     auto& node = nodes_[uid];
     node.lacking = lacking;
     node.at = at;
-    raise(needs, node.rank, news);
+    raise(needs, node.priority, news);
     if (doomed) doom({uid}, news);
     return news;
 }
 
-Prerequisites::News Prerequisites::over(const std::string& uid, bool done, std::int64_t at) {
+DependencyGraph::News DependencyGraph::over(const std::string& uid, bool done, std::int64_t at) {
     News news;
     unknown_.erase(uid);
     auto* node = find(uid);
@@ -88,7 +88,7 @@
     return news;
 }
 
-void Prerequisites::over_somehow(const std::string& uid) {
+void DependencyGraph::over_somehow(const std::string& uid) {
     auto* node = find(uid);
     if (!node || node->fate == Fate::done || node->fate == Fate::cancelled) return;
     const auto needs = std::move(node->needs);
@@ -102,61 +102,61 @@
         unknown_.insert(uid);
 }
 
-Prerequisites::Fate Prerequisites::fate(const std::string& uid) const {
+DependencyGraph::Fate DependencyGraph::fate(const std::string& uid) const {
     const auto* node = find(uid);
     return node ? node->fate : Fate::unknown;
 }
 
-bool Prerequisites::waits(const std::string& uid) const {
+bool DependencyGraph::waits(const std::string& uid) const {
     const auto* node = find(uid);
     return node && (node->lacking > 0 || node->doomed);
 }
 
-bool Prerequisites::needed(const std::string& uid) const {
+bool DependencyGraph::needed(const std::string& uid) const {
     const auto* node = find(uid);
     return node && !node->needed_by.empty();
 }
 
-wire::Rank Prerequisites::rank(const std::string& uid) const {
+model::Priority DependencyGraph::priority(const std::string& uid) const {
     const auto* node = find(uid);
-    return node ? node->rank : wire::Rank::idle;
+    return node ? node->priority : model::Priority::idle;
 }
 
-std::int64_t Prerequisites::ready_at(const std::string& uid) const {
+std::int64_t DependencyGraph::ready_at(const std::string& uid) const {
     const auto* node = find(uid);
     return node ? node->at : 0;
 }
 
-void Prerequisites::raise(const std::vector<std::string>& from, wire::Rank rank, News& news) {
+void DependencyGraph::raise(const std::vector<std::string>& from, model::Priority priority, News& news) {
     auto next = from;
     while (!next.empty()) {
         const auto uid = std::move(next.back());
         next.pop_back();
         auto* node = find(uid);
-        if (!node || node->fate == Fate::done || node->fate == Fate::cancelled || node->rank >= rank) continue;
-        node->rank = rank;
-        if (node->fate == Fate::open) news.reranked.push_back(uid);
+        if (!node || node->fate == Fate::done || node->fate == Fate::cancelled || node->priority >= priority) continue;
+        node->priority = priority;
+        if (node->fate == Fate::open) news.priority_changed.push_back(uid);
         next.insert(next.end(), node->needs.begin(), node->needs.end());
     }
 }
 
-void Prerequisites::lower(std::vector<std::string> from, News& news) {
+void DependencyGraph::lower(std::vector<std::string> from, News& news) {
     while (!from.empty()) {
         const auto uid = std::move(from.back());
         from.pop_back();
         auto* node = find(uid);
         if (!node || node->fate == Fate::done || node->fate == Fate::cancelled) continue;
-        auto rank = node->own;
+        auto priority = node->own;
         for (const auto& name : node->needed_by)
-            if (const auto* by = find(name); by && !by->doomed) rank = std::max(rank, by->rank);
-        if (rank == node->rank) continue;
-        node->rank = rank;
-        if (node->fate == Fate::open) news.reranked.push_back(uid);
+            if (const auto* by = find(name); by && !by->doomed) priority = std::max(priority, by->priority);
+        if (priority == node->priority) continue;
+        node->priority = priority;
+        if (node->fate == Fate::open) news.priority_changed.push_back(uid);
         from.insert(from.end(), node->needs.begin(), node->needs.end());
     }
 }
 
-void Prerequisites::doom(const std::set<std::string>& first, News& news) {
+void DependencyGraph::doom(const std::set<std::string>& first, News& news) {
     std::deque<std::string> next(first.begin(), first.end());
     for (; !next.empty(); next.pop_front()) {
         auto* node = find(next.front());
@@ -169,7 +169,7 @@
     }
 }
 
-void Prerequisites::remember(const std::string& uid) {
+void DependencyGraph::remember(const std::string& uid) {
     past_.push_back(uid);
     while (past_.size() > max_past) {
         nodes_.erase(past_.front());
--- a/src/scheduler/follower_leases.hpp
+++ b/src/scheduler/follower_leases.hpp
@@ -12,8 +12,10 @@
 #include <unordered_set>
 
 #include "config/settings.hpp"
+#include "model/clock.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
 #include "state/store.hpp"
-#include "wire/types.hpp"
 
 namespace flintdale::scheduler {
 
@@ -22,36 +24,36 @@
     explicit FollowerLeases(const config::Settings& settings) : settings_(settings) {}
 
     // A look at the outcomes that began then told these changes since the one before, and no others were missed.
-    void watched(const std::vector<state::Item>& outcomes, wire::TimePoint began);
+    void watched(const std::vector<state::KeyValue>& outcomes, model::TimePoint began);
     // Changes before then may have been missed.
-    void lost_track(wire::TimePoint now) { since_ = now; }
+    void lost_track(model::TimePoint now) { since_ = now; }
     // All outcomes there are were among those that have been told.
-    void knows_all(wire::TimePoint now) { since_ = now - wire::to_clock(settings_.cancel); }
+    void knows_all(model::TimePoint now) { since_ = now - model::to_clock(settings_.cancel); }
 
-    // The job is cancelled, by a peer's word: told_until says what else that covers.
-    void cancelled(const std::string& uid, wire::TimePoint now);
+    // The job is cancelled, by a peer's word: cancellations_known_until says what else that covers.
+    void cancelled(const std::string& uid, model::TimePoint now);
     // When the last look at the outcomes began.
-    wire::TimePoint looked_at() const { return fresh_; }
+    model::TimePoint looked_at() const { return fresh_; }
 
-    // `told_until`: all that users were told before then is known here, beyond what the looks have shown.
-    // Orders for a worker that no leader answers, or nothing if it must be sent on: the first time to the leader, for
-    // it may reach that one; always, while what is known is not enough.
-    std::optional<std::vector<wire::Order>> answer(const wire::WorkerReport& report, wire::TimePoint now,
-                                                   wire::TimePoint told_until = {});
+    // `cancellations_known_until`: all that users were told before then is known here, beyond what the looks have
+    // shown. Commands for a worker that no leader answers, or nothing if it must be sent on: the first time to the
+    // leader, for it may reach that one; always, while what is known is not enough.
+    std::optional<std::vector<model::Command>> answer(const model::Heartbeat& report, model::TimePoint now,
+                                                      model::TimePoint cancellations_known_until = {});
 
     // The same from a leader that rebuilds the records and has nobody to send the worker to.
-    std::optional<std::vector<wire::Order>> keep(const wire::WorkerReport& report, wire::TimePoint now,
-                                                 wire::TimePoint told_until = {}) const;
+    std::optional<std::vector<model::Command>> keep(const model::Heartbeat& report, model::TimePoint now,
+                                                    model::TimePoint cancellations_known_until = {}) const;
 
   private:
-    bool knows_enough(wire::TimePoint now, wire::TimePoint told_until) const;
+    bool knows_enough(model::TimePoint now, model::TimePoint cancellations_known_until) const;
 
     const config::Settings& settings_;
-    std::optional<wire::TimePoint> since_;  // when the unbroken watch began
-    wire::TimePoint fresh_{};               // when the last look began
+    std::optional<model::TimePoint> since_;  // when the unbroken watch began
+    model::TimePoint fresh_{};               // when the last look began
     std::unordered_set<std::string> cancelled_;
-    std::deque<std::pair<wire::TimePoint, std::string>> cancelled_at_;  // in the order of time, to forget them
-    std::unordered_map<std::string, wire::TimePoint> sent_on_;          // machines, when they were last here
+    std::deque<std::pair<model::TimePoint, std::string>> cancelled_at_;  // in the order of time, to forget them
+    std::unordered_map<std::string, model::TimePoint> sent_on_;          // machines, when they were last here
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/handover_hints.cpp
+++ b/src/scheduler/handover_hints.cpp
@@ -7,18 +7,18 @@
 
 namespace flintdale::scheduler {
 
-std::vector<state::Change> HandoverHints::pages(std::span<const wire::MachineNote> notes) {
+std::vector<state::Change> HandoverHints::pages(std::span<const wire::MachineHint> notes) {
     std::vector<state::Change> out;
     std::set<std::string> needed;
     for (std::size_t at = 0, n = 0; at < notes.size(); ++n) {
         auto count = std::min(per_page_, notes.size() - at);
-        boost::json::value value = boost::json::string(wire::encode_notes(notes.subspan(at, count)));
-        while (count > 1 && !form_.fits(value)) {
+        boost::json::value value = boost::json::string(wire::encode_machine_hints(notes.subspan(at, count)));
+        while (count > 1 && !record_format_.fits(value)) {
             count = per_page_ = (count + 1) / 2;
-            value = boost::json::string(wire::encode_notes(notes.subspan(at, count)));
+            value = boost::json::string(wire::encode_machine_hints(notes.subspan(at, count)));
         }
         at += count;
-        const auto key = notes_prefix + std::to_string(n);
+        const auto key = hints_prefix + std::to_string(n);
         needed.insert(key);
         if (on_record_[key] != std::string_view(value.as_string())) out.push_back({key, std::move(value), 0});
     }
@@ -34,12 +34,12 @@
         on_record_.erase(page.key);
 }
 
-std::vector<wire::MachineNote> HandoverHints::read(const std::vector<state::Item>& items) {
-    std::vector<wire::MachineNote> out;
+std::vector<wire::MachineHint> HandoverHints::read(const std::vector<state::KeyValue>& items) {
+    std::vector<wire::MachineHint> out;
     for (const auto& item : items) {
         on_record_[item.key].clear();
         try {
-            auto notes = wire::decode_notes(std::string_view(item.value.as_string()));
+            auto notes = wire::decode_machine_hints(std::string_view(item.value.as_string()));
             std::move(notes.begin(), notes.end(), std::back_inserter(out));
         } catch (const std::exception& e) {
             spdlog::info("event=notes_unreadable key={} why=\"{}\"", item.key, e.what());
--- a/src/scheduler/handover_hints.hpp
+++ b/src/scheduler/handover_hints.hpp
@@ -6,28 +6,28 @@
 #include <map>
 #include <span>
 
-#include "state/form.hpp"
+#include "state/record_format.hpp"
 #include "state/store.hpp"
-#include "wire/notes.hpp"
+#include "wire/machine_hints.hpp"
 
 namespace flintdale::scheduler {
 
-inline constexpr const char* notes_prefix = "notes/";
+inline constexpr const char* hints_prefix = "notes/";
 
 class HandoverHints {
   public:
-    explicit HandoverHints(const state::Form& form) : form_(form) {}
+    explicit HandoverHints(const state::RecordFormat& record_format) : record_format_(record_format) {}
 
     // The pages that differ from what was last written, each within the limit on values, and pages that are no longer
     // needed as deletions. Machines are in the order of their names.
-    std::vector<state::Change> pages(std::span<const wire::MachineNote> notes);
+    std::vector<state::Change> pages(std::span<const wire::MachineHint> notes);
     // That page is on record now.
     void written(const state::Change& page);
     // What a former leader wrote: its notes, and which pages there are. What cannot be read is left out.
-    std::vector<wire::MachineNote> read(const std::vector<state::Item>& items);
+    std::vector<wire::MachineHint> read(const std::vector<state::KeyValue>& items);
 
   private:
-    const state::Form& form_;
+    const state::RecordFormat& record_format_;
     std::size_t per_page_ = 512;                    // machines; halved until a page fits
     std::map<std::string, std::string> on_record_;  // text of each page; empty where it is not known
 };
--- a/src/scheduler/job.cpp
+++ b/src/scheduler/job.cpp
@@ -2,14 +2,17 @@
 
 #include <charconv>
 
+#include "model/job.hpp"
+#include "model/task.hpp"
+
 namespace flintdale::scheduler {
 
 std::string outcome_key(const std::string& uid) { return over_prefix + uid; }
 
-bool is_cancelled(const state::Item& item) {
+bool is_cancelled(const state::KeyValue& item) {
     if (!item.key.starts_with(over_prefix) || !item.value.is_object()) return false;
     const auto* state = item.value.get_object().if_contains("state");
-    return state && state->is_string() && state->get_string() == wire::job_state_name(wire::JobState::cancelled);
+    return state && state->is_string() && state->get_string() == wire::job_state_name(model::JobState::cancelled);
 }
 
 std::string work_key(const std::string& uid, std::uint32_t chunk, std::uint32_t page) {
@@ -58,7 +61,7 @@
     const auto old_page = page;
     const auto old = std::move(chunks);
     for (std::uint32_t c = 0; c < old.size(); ++c)
-        if (old[c].stamp) overruled.push_back({work_key(spec.uid, c, old_page), old[c].stamp});
+        if (old[c].mod_revision) overruled.push_back({work_key(spec.uid, c, old_page), old[c].mod_revision});
     page = tasks_each;
     chunks.assign((spec.tasks + page - 1) / page, Chunk{});
     for (std::uint32_t i = 0; i < spec.tasks; ++i) {
@@ -69,15 +72,15 @@
     }
 }
 
-boost::json::object outcome_record(const state::Form& form, wire::JobState state, std::int64_t at,
-                                   const boost::json::object* spec, const wire::JobSize& size) {
+boost::json::object outcome_record(const state::RecordFormat& record_format, model::JobState state, std::int64_t at,
+                                   const boost::json::object* spec, const model::JobSize& size) {
     boost::json::object o{{"state", wire::job_state_name(state)}};
     if (spec) o["spec"] = *spec;
     // The oldest format holds the whole submission, and nothing else is read there.
-    if (!form.newest()) return o;
+    if (!record_format.newest()) return o;
     if (at) o["at"] = at;
     wire::size_to_record(size, o);
-    if (!form.fits(o)) o.erase("spec");
+    if (!record_format.fits(o)) o.erase("spec");
     return o;
 }
 
@@ -85,39 +88,39 @@
     return {{"spec", wire::spec_to_record(spec)}, {"tasks", boost::json::array()}};
 }
 
-bool readable_by_all(const JobSpec& spec, const state::Form& form) {
+bool readable_by_all(const JobSpec& spec, const state::RecordFormat& record_format) {
     // A third of a value is left for the submission beside the ranges of its first tasks.
-    return spec.prerequisites.empty() && (!spec.types || spec.types->size() <= types_of_old) &&
-           state::Form::size_of(wire::spec_to_record(spec)) <= form.limits().value_bytes / 3;
+    return spec.dependencies.empty() && (!spec.types || spec.types->size() <= types_of_old) &&
+           state::RecordFormat::size_of(wire::spec_to_record(spec)) <= record_format.limits().value_bytes / 3;
 }
 
-std::vector<state::Change> accepted_records(const JobSpec& spec, const state::Form& form) {
+std::vector<state::Change> accepted_records(const JobSpec& spec, const state::RecordFormat& record_format) {
     std::vector<state::Change> out;
     auto whole = first_work_record(spec);
-    if (!form.newest() || form.fits(whole)) {
+    if (!record_format.newest() || record_format.fits(whole)) {
         out.push_back({work_key(spec.uid, 0), std::move(whole), 0});
         return out;
     }
     const auto text = boost::json::serialize(whole.at("spec"));
     std::vector<state::Change> pieces;
     for (std::size_t at = 0; at < text.size();) {
-        auto length = std::min(form.room(), text.size() - at);
+        auto length = std::min(record_format.room(), text.size() - at);
         boost::json::object piece;
         for (;;) {
             // Not in the middle of a character.
             while (at + length < text.size() && (static_cast<unsigned char>(text[at + length]) & 0xC0) == 0x80)
                 --length;
             piece["text"] = text.substr(at, length);
-            const auto size = state::Form::size_of(piece);
-            if (size <= form.room()) break;
-            length -= std::min(length - 1, (size - form.room() + 1) / 2 + 4);
+            const auto size = state::RecordFormat::size_of(piece);
+            if (size <= record_format.room()) break;
+            length -= std::min(length - 1, (size - record_format.room() + 1) / 2 + 4);
         }
         at += length;
         pieces.push_back({piece_key(spec.uid, pieces.size() + 1), std::move(piece), 0});
     }
-    if (pieces.size() + 1 > form.limits().txn_ops) return {};
+    if (pieces.size() + 1 > record_format.limits().txn_ops) return {};
     boost::json::object first{{"cut", pieces.size()}, {"tasks", boost::json::array()}};
-    wire::size_to_record({spec.shape, spec.tasks}, first);
+    wire::size_to_record({spec.kind, spec.tasks}, first);
     out.push_back({work_key(spec.uid, 0), std::move(first), 0});
     for (auto& piece : pieces) out.push_back(std::move(piece));
     return out;
@@ -134,13 +137,13 @@
 }
 
 boost::json::object work_record(const Job& job, std::uint32_t chunk) {
-    std::vector<wire::TaskRange> ranges;
+    std::vector<model::TaskRange> ranges;
     const std::uint32_t from = chunk * job.page;
     const std::uint32_t to = std::min<std::uint32_t>(from + job.page, job.spec.tasks);
     for (std::uint32_t i = from; i < to; ++i) {
         const auto& t = job.tasks[i];
-        wire::TaskRange r{i, i, t.attempt, t.state == Task::State::placed ? t.machine->name : "",
-                          t.state == Task::State::done};
+        model::TaskRange r{i, i, t.attempt, t.state == Task::State::placed ? t.machine->name : "",
+                           t.state == Task::State::done};
         if (!ranges.empty()) {
             auto& last = ranges.back();
             if (last.attempt == r.attempt && last.machine == r.machine && last.done == r.done) {
--- a/src/scheduler/job.hpp
+++ b/src/scheduler/job.hpp
@@ -2,8 +2,10 @@
 #pragma once
 #include <deque>
 
-#include "fleet/ledger.hpp"
-#include "state/form.hpp"
+#include "fleet/machine_inventory.hpp"
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "state/record_format.hpp"
 #include "state/store.hpp"
 #include "wire/json.hpp"
 
@@ -11,9 +13,9 @@
 
 using fleet::Machine;
 using fleet::TaskKey;
-using wire::JobSpec;
-using wire::Seconds;
-using wire::TimePoint;
+using model::JobSpec;
+using model::Seconds;
+using model::TimePoint;
 
 // Tasks per record of the state service. Where the limit on values does not let that many be kept, a job goes over to
 // smaller records, half the size each time: a record of fewer tasks overrules one of more for all of its tasks, so that
@@ -37,22 +39,22 @@
 };
 
 struct Chunk {
-    std::uint64_t stamp = 0;                 // of the key; 0: absent
+    std::uint64_t mod_revision = 0;          // of the key; 0: absent
     std::uint32_t changed = 0, durable = 0;  // generations
 };
 
 // A key on record that is not written again, to be removed with the job.
 struct OldRecord {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 
 struct Job {
     JobSpec spec;
-    mutable placement::Ask ask;            // its wishes in numbers, made when first needed
-    wire::Rank rank = wire::Rank::normal;  // its own, or that of a job which needs it
-    bool waits = false;                    // not all that it needs is known to be done
-    bool doomed = false;                   // something that it needs was cancelled: so must it be
+    mutable placement::Ask ask;                          // its wishes in numbers, made when first needed
+    model::Priority priority = model::Priority::normal;  // its own, or that of a job which needs it
+    bool waits = false;                                  // not all that it needs is known to be done
+    bool doomed = false;                                 // something that it needs was cancelled: so must it be
     bool cancelled = false;
     bool finished = false;             // the outcome is durable
     std::uint32_t page = chunk_tasks;  // tasks per record
@@ -76,9 +78,9 @@
     std::set<std::string> failed_on;    // machines
     unsigned errors = 0, failures = 0;  // tasks that failed; times that its tries ended so, for ever longer pauses
 
-    bool is(wire::Shape s) const { return spec.shape == s; }
+    bool is(model::JobKind s) const { return spec.kind == s; }
     // Whether any of it ever went well: a replica that runs, a task that is done.
-    bool proven() const { return done > 0 || (is(wire::Shape::service) && running > 0); }
+    bool proven() const { return done > 0 || (is(model::JobKind::service) && running > 0); }
     // It has failed on different machines and never went well: more likely submitted with a mistake than unlucky. It is
     // tried with one task (a gang: as seldom) until one goes well, and nothing is rented, held or stopped for it.
     bool doubtful() const { return !proven() && failed_on.size() >= 2; }
@@ -100,7 +102,7 @@
 std::string work_key(const std::string& uid, std::uint32_t chunk, std::uint32_t page = chunk_tasks);
 std::string piece_key(const std::string& uid, std::size_t piece);
 // Whether this is the outcome of a job that was cancelled.
-bool is_cancelled(const state::Item& item);
+bool is_cancelled(const state::KeyValue& item);
 // What a key of open work names: some of a job's tasks, or a piece of a submission that is too long for one value.
 struct WorkKey {
     std::string uid;
@@ -111,15 +113,15 @@
 std::optional<WorkKey> parse_work_key(const std::string& key);
 
 // `spec` as it is kept, or nothing if it is not at hand; `at`: the time of day, or 0.
-boost::json::object outcome_record(const state::Form& form, wire::JobState state, std::int64_t at,
-                                   const boost::json::object* spec, const wire::JobSize& size);
+boost::json::object outcome_record(const state::RecordFormat& record_format, model::JobState state, std::int64_t at,
+                                   const boost::json::object* spec, const model::JobSize& size);
 boost::json::object work_record(const Job& job, std::uint32_t chunk);
 // The first record of a job that was just accepted.
 boost::json::object first_work_record(const JobSpec& spec);
 // All records of a job that was just accepted, the first of them first; none if they cannot be kept.
-std::vector<state::Change> accepted_records(const JobSpec& spec, const state::Form& form);
+std::vector<state::Change> accepted_records(const JobSpec& spec, const state::RecordFormat& record_format);
 // Whether controllers that read only older formats could read the job.
-bool readable_by_all(const JobSpec& spec, const state::Form& form);
+bool readable_by_all(const JobSpec& spec, const state::RecordFormat& record_format);
 
 // A submission from its first record and, where it was cut, its pieces in their order; nothing while some are missing.
 std::optional<JobSpec> spec_from_records(const boost::json::object& first,
--- a/src/scheduler/lease_rule.hpp
+++ b/src/scheduler/lease_rule.hpp
@@ -1,5 +1,6 @@
 #pragma once
 #include "config/settings.hpp"
+#include "model/clock.hpp"
 
 namespace flintdale::scheduler {
 
@@ -7,14 +8,14 @@
 // a task dies at the latest a lease after the last answer; so what is known of cancellations must be younger
 // than what cancel_s leaves beyond the lease. The margin covers drifting clocks, and the time from the report's
 // arrival to this look at the clock: a lease runs from when the report was sent, however late its answer leaves.
-inline bool may_answer(const config::Settings& s, wire::TimePoint now, wire::TimePoint cancellations_known_at,
-                       wire::Seconds margin = wire::Seconds(3)) {
-    return now - cancellations_known_at < wire::to_clock(s.cancel - s.lease - margin);
+inline bool may_answer(const config::Settings& s, model::TimePoint now, model::TimePoint cancellations_known_at,
+                       model::Seconds margin = model::Seconds(3)) {
+    return now - cancellations_known_at < model::to_clock(s.cancel - s.lease - margin);
 }
 
 // How long after a cancellation a silent machine that may hold work of that job is given up, whoever does it: its
 // leader, or a controller that knows of the cancellation while nobody leads. Half of cancel_s leaves the other half to
 // controllers that ended meanwhile and know nothing: they ask all silent machines after as long (app::Fencer).
-inline wire::Seconds give_up_silent_after(const config::Settings& s) { return s.cancel * 0.5; }
+inline model::Seconds give_up_silent_after(const config::Settings& s) { return s.cancel * 0.5; }
 
 }  // namespace flintdale::scheduler
