--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -5,14 +5,19 @@
 
 #include <algorithm>
 
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
+
 namespace flintdale::scheduler {
 
 using namespace std::chrono_literals;
-using wire::Cause;
-using wire::Order;
-using wire::Shape;
-using wire::TaskStatus;
-using wire::Verb;
+using model::Command;
+using model::CommandType;
+using model::ExitReason;
+using model::JobKind;
+using model::TaskStatus;
 using State = Task::State;
 
 namespace {
@@ -23,14 +28,15 @@
 constexpr Seconds write_later{8};  // how long the record of ended tasks may wait for other changes of the job
 }  // namespace
 
-Scheduler::Scheduler(const config::Settings& settings, const config::Tunables& tunables, const state::Form& form,
-                     std::uint64_t term, std::uint64_t term_stamp, TimePoint now)
+Scheduler::Scheduler(const config::Settings& settings, const config::Tunables& tunables,
+                     const state::RecordFormat& record_format, std::uint64_t term, std::uint64_t term_revision,
+                     TimePoint now)
     : settings_(settings),
-      form_(form),
+      record_format_(record_format),
       tunables_(tunables),
       rules_{tunables.memory_margin, tunables.groups},
       term_(term),
-      term_stamp_(term_stamp),
+      term_revision_(term_revision),
       since_(now),
       teams_(quota::table_of(settings.teams)),
       spare_since_(now) {}
@@ -49,7 +55,7 @@
 
 std::int64_t Scheduler::window_at(std::int64_t ms) const {
     using std::chrono::milliseconds;
-    const auto window = std::chrono::duration_cast<milliseconds>(wire::to_clock(tunables_.window)).count();
+    const auto window = std::chrono::duration_cast<milliseconds>(model::to_clock(tunables_.window)).count();
     return ms / std::max<std::int64_t>(1, window);
 }
 
@@ -57,13 +63,13 @@
     auto job = std::make_unique<Job>();
     job->tasks.resize(spec.tasks);
     job->chunks.resize((spec.tasks + job->page - 1) / job->page);
-    job->rank = spec.rank;
+    job->priority = spec.priority;
     job->arrived = now;
-    const auto window = wire::to_clock(tunables_.window);
+    const auto window = model::to_clock(tunables_.window);
     job->window = window_at(spec.accepted_ms);
     // A window that a former leader opened has closed by now. And a critical service would come first in any window,
     // having no length: there is nothing to gather before it is placed.
-    const bool first = spec.shape == Shape::service && spec.rank == wire::Rank::critical;
+    const bool first = spec.kind == JobKind::service && spec.priority == model::Priority::critical;
     job->eligible_at = known_before || first ? now : TimePoint((now.time_since_epoch() / window + 1) * window);
     job->spec = std::move(spec);
     auto& ref = *job;
@@ -149,8 +155,8 @@
     t.placed_at = now;
     t.sent = t.seen = t.started = t.draining = t.parked = false;
     ++job.placed;
-    if (job.is(Shape::array)) ++array_tasks_[static_cast<std::size_t>(job.spec.rank)];
-    ledger_.assign(m, {job.spec.uid, task}, job.spec, job.rank);
+    if (job.is(JobKind::array)) ++array_tasks_[static_cast<std::size_t>(job.spec.priority)];
+    inventory_.assign(m, {job.spec.uid, task}, job.spec, job.priority);
     spdlog::debug("event=placed task={}/{} class={} attempt={} machine={}", job.spec.uid, task, job.spec.job_class,
                   attempt, m.name);
     teams_.placed(job.spec.team, job.spec.need);
@@ -159,10 +165,10 @@
 void Scheduler::leave(Job& job, std::uint32_t task, State next, TimePoint now) {
     auto& t = job.tasks[task];
     if (t.state == State::placed) {
-        ledger_.unassign(*t.machine, {job.spec.uid, task}, job.spec, now);
+        inventory_.unassign(*t.machine, {job.spec.uid, task}, job.spec, now);
         teams_.gone(job.spec.team, job.spec.need);
         --job.placed;
-        if (job.is(Shape::array)) --array_tasks_[static_cast<std::size_t>(job.spec.rank)];
+        if (job.is(JobKind::array)) --array_tasks_[static_cast<std::size_t>(job.spec.priority)];
         if (t.started) --job.running;
         if (t.parked) --job.parked;
     }
@@ -175,14 +181,14 @@
     const auto left = job.spec.tasks - job.done - (next == State::done);
     const bool over = job.cancelled || job.finished ? job.placed == 0 : left == 0;
     touch(job, task, over ? Write::at_once : Write::some_time, now);
-    if (left == 0 && prerequisites_.needed(job.spec.uid)) mark_urgent(job.spec.uid);
+    if (left == 0 && dependency_graph_.needed(job.spec.uid)) mark_urgent(job.spec.uid);
 }
 
 void Scheduler::lost(Job& job, std::uint32_t task, TimePoint now) {
     spdlog::debug("event=task_lost task={}/{} attempt={} machine={}", job.spec.uid, task, job.tasks[task].attempt,
                   job.tasks[task].machine ? job.tasks[task].machine->name : "");
     // Members of a running gang notice and exit; before the start a replacement can complete the gang.
-    if (job.is(Shape::gang) && job.gang_started) job.gang_failing = true;
+    if (job.is(JobKind::gang) && job.gang_started) job.gang_failing = true;
     leave(job, task, State::waiting, now);
 }
 
@@ -204,13 +210,13 @@
     ++job.done;
 }
 
-void Scheduler::exited(Job& job, std::uint32_t task, Machine& m, const wire::TaskReport& r, TimePoint now) {
+void Scheduler::exited(Job& job, std::uint32_t task, Machine& m, const model::TaskReport& r, TimePoint now) {
     spdlog::debug("event=task_exited task={}/{} attempt={} machine={} cause={}", job.spec.uid, task, r.attempt, m.name,
-                  static_cast<int>(r.cause));
-    if (r.cause == Cause::done) {
-        ledger_.has_image(m, {job.spec.uid, task}, job.spec);
+                  static_cast<int>(r.exit_reason));
+    if (r.exit_reason == ExitReason::done) {
+        inventory_.has_image(m, {job.spec.uid, task}, job.spec);
         m.failed_jobs.clear();
-        if (job.is(Shape::gang)) {
+        if (job.is(JobKind::gang)) {
             // A gang completes as one: whichever member says so first speaks for all.
             for (std::uint32_t i = 0; i < job.spec.tasks; ++i) task_done(job, i, now);
         } else {
@@ -218,22 +224,23 @@
         }
         return;
     }
-    if (r.cause == Cause::error) {
+    if (r.exit_reason == ExitReason::error) {
         blame(job, m, now);
-    } else if (r.cause == Cause::unknown || r.cause == Cause::no_room || r.cause == Cause::busy) {
+    } else if (r.exit_reason == ExitReason::unknown_task || r.exit_reason == ExitReason::insufficient_resources ||
+               r.exit_reason == ExitReason::conflicting_attempt) {
         job.eligible_at = std::max(job.eligible_at, now + 2s);
     }
     // It waited for the others, so it had its image; a leader that has just begun has not seen it wait.
-    if (r.cause == Cause::alone) ledger_.has_image(m, {job.spec.uid, task}, job.spec);
-    if (r.cause == Cause::alone && !job.gang_started && !job.gang_failing && !job.cancelled && !m.taken_at &&
-        !job.tasks[task].draining) {
+    if (r.exit_reason == ExitReason::gang_incomplete) inventory_.has_image(m, {job.spec.uid, task}, job.spec);
+    if (r.exit_reason == ExitReason::gang_incomplete && !job.gang_started && !job.gang_failing && !job.cancelled &&
+        !m.terminates_at && !job.tasks[task].draining) {
         job.tasks[task].parked = true;
         if (++job.parked == 1) job.parked_since = now;
         parked_.insert(job.spec.uid);
         regroup(job, now);
         return;
     }
-    if (job.is(Shape::gang)) job.gang_failing = true;
+    if (job.is(JobKind::gang)) job.gang_failing = true;
     leave(job, task, State::waiting, now);
 }
 
@@ -245,9 +252,9 @@
     m.failed_jobs.insert(job.spec.uid);
     if (job.doubtful()) {
         for (const auto& name : job.failed_on)
-            if (auto* other = ledger_.find(name)) {
+            if (auto* other = inventory_.find(name)) {
                 other->failed_jobs.erase(job.spec.uid);
-                other->suspect = other->failed_jobs.size() >= suspect_jobs;
+                other->quarantined = other->failed_jobs.size() >= suspect_jobs;
             }
         // What of it was under way together fails together, and counts once.
         if (now >= job.eligible_at) {
@@ -257,8 +264,8 @@
                           job.errors, pause.count());
         }
     } else if (m.failed_jobs.size() >= suspect_jobs) {
-        if (!m.suspect) spdlog::info("event=machine_set_aside machine={} type={}", m.name, m.type);
-        m.suspect = true;
+        if (!m.quarantined) spdlog::info("event=machine_set_aside machine={} type={}", m.name, m.type);
+        m.quarantined = true;
     }
 }
 
@@ -291,7 +298,7 @@
         if (!job || job->parked == 0) return true;
         // All have a place: what is missing is an image.
         if (job->placed + job->done == job->spec.tasks) job->parked_since = now;
-        if (now - job->parked_since <= wire::to_clock(settings_.gang_wait)) return false;
+        if (now - job->parked_since <= model::to_clock(settings_.gang_wait)) return false;
         spdlog::info("event=gang_unparked job={} parked={} placed={}", uid, job->parked, job->placed);
         for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
             if (job->tasks[i].parked) leave(*job, i, State::waiting, now);
@@ -301,13 +308,13 @@
 
 // --- reports ---
 
-void Scheduler::held(Job& job, std::uint32_t task, Machine& m, const wire::TaskReport& r, std::vector<Order>& orders,
-                     TimePoint now) {
+void Scheduler::held(Job& job, std::uint32_t task, Machine& m, const model::TaskReport& r,
+                     std::vector<Command>& commands, TimePoint now) {
     auto& t = job.tasks[task];
     t.seen = t.sent = true;
     if (r.status != TaskStatus::fetching) {
-        ledger_.has_image(m, {job.spec.uid, task}, job.spec);
-        const bool runs = r.status == TaskStatus::running || r.status == TaskStatus::saving;
+        inventory_.has_image(m, {job.spec.uid, task}, job.spec);
+        const bool runs = r.status == TaskStatus::running || r.status == TaskStatus::checkpointing;
         if (runs && !t.started) {
             t.started = true;
             t.running_since = now;
@@ -319,41 +326,41 @@
         if (runs) job.gang_started = true;
         regroup(job, now);
     }
-    Order kill{Verb::kill, r.id, r.attempt, Seconds(0)};
-    if (job.cancelled || (job.is(Shape::gang) && job.gang_failing)) {
-        orders.push_back(kill);
-    } else if (t.draining && r.status != TaskStatus::saving) {
-        kill.grace = job.spec.save + 1s;
-        orders.push_back(kill);
+    Command kill{CommandType::kill, r.id, r.attempt, Seconds(0)};
+    if (job.cancelled || (job.is(JobKind::gang) && job.gang_failing)) {
+        commands.push_back(kill);
+    } else if (t.draining && r.status != TaskStatus::checkpointing) {
+        kill.grace_period = job.spec.checkpoint_duration + 1s;
+        commands.push_back(kill);
     }
 }
 
-void Scheduler::absent(Job& job, std::uint32_t task, Machine& m, std::vector<Order>& orders, TimePoint now) {
+void Scheduler::absent(Job& job, std::uint32_t task, Machine& m, std::vector<Command>& commands, TimePoint now) {
     auto& t = job.tasks[task];
     if (t.seen) {
         lost(job, task, now);
-    } else if (job.cancelled || t.draining || job.finished || (job.is(Shape::gang) && job.gang_failing) ||
+    } else if (job.cancelled || t.draining || job.finished || (job.is(JobKind::gang) && job.gang_failing) ||
                teams_.over_limit(job.spec.team)) {
         // Either no `run` was sent, or this report is newer than the answer that carried it. A task that was given up
         // before it ran is on record for some seconds after others have taken its part of the limit: the leader that
         // reads so must not start it again (quota).
         leave(job, task, State::waiting, now);
     } else {
-        order_run(job, task, m, orders);
+        order_run(job, task, m, commands);
     }
 }
 
-void Scheduler::order_run(Job& job, std::uint32_t task, const Machine& m, std::vector<Order>& orders) {
-    if (!job.durable(task) || m.releasing || orders.size() >= max_orders) return;
+void Scheduler::order_run(Job& job, std::uint32_t task, const Machine& m, std::vector<Command>& commands) {
+    if (!job.durable(task) || m.releasing || commands.size() >= max_orders) return;
     // The intent is on record, so a leader after this one knows where to look for the task.
     job.tasks[task].sent = true;
-    orders.push_back({Verb::run, {job.spec.uid, task}, job.tasks[task].attempt, Seconds(0)});
+    commands.push_back({CommandType::run, {job.spec.uid, task}, job.tasks[task].attempt, Seconds(0)});
 }
 
 // An attempt above the one on record: no `run` leaves before its placement is on record, so the record was lost. While
 // the records are known to lack something, what a worker shows under this term is where the task is; a later attempt
 // cannot exist, for it would have needed the evidence that this one is gone.
-bool Scheduler::adopt(Job& job, Machine& m, const wire::TaskReport& r, TimePoint now) {
+bool Scheduler::adopt(Job& job, Machine& m, const model::TaskReport& r, TimePoint now) {
     if (!unsettled_) {
         loss_seen_ = loss_seen_ || !job.cancelled;
         return false;
@@ -362,7 +369,7 @@
     auto& task = job.tasks[i];
     const bool ended = r.status == TaskStatus::exited;
     if (!m.current || task.state == State::done || job.finished) return false;
-    if (ended && r.cause != Cause::done) {
+    if (ended && r.exit_reason != ExitReason::done) {
         // It is over, but no attempt may have that number again.
         task.attempt = std::max(task.attempt, r.attempt);
         job.gang_attempt = std::max(job.gang_attempt, r.attempt);
@@ -384,7 +391,7 @@
 // With the last placements lost, any task that waits may be on any machine that was not heard. A list names all
 // machines that are older than it lags; younger ones are named by a later one.
 // A list may be twice as old as usual: one that came so long after this term began shows what there was in it.
-wire::Clock::duration Scheduler::list_age() const { return wire::to_clock(settings_.list_lag * 2 + Seconds(2)); }
+model::Clock::duration Scheduler::list_age() const { return model::to_clock(settings_.list_lag * 2 + Seconds(2)); }
 
 // Whether all is known that may be on the machine: it has shown what it holds under this term, or it was still starting
 // after this term had begun, so that no earlier leader's order can have reached it.
@@ -395,7 +402,7 @@
 bool Scheduler::all_listed() const { return listed_at_ - since_ >= list_age(); }
 
 bool Scheduler::all_heard() const {
-    return all_listed() && std::all_of(ledger_.all().begin(), ledger_.all().end(),
+    return all_listed() && std::all_of(inventory_.all().begin(), inventory_.all().end(),
                                        [&](const auto& entry) { return heard(*entry.second); });
 }
 
@@ -404,7 +411,7 @@
 std::vector<Job*> Scheduler::certain(std::vector<Job*> jobs) const {
     std::set<placement::Id> unheard;
     bool anywhere = false;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         if (heard(*m)) continue;
         anywhere = anywhere || m->type.empty();  // from a record, and not listed: nobody knows what it is
         unheard.insert(m->row.pool);
@@ -425,13 +432,13 @@
     return out;
 }
 
-std::optional<std::vector<Order>> Scheduler::report(const wire::WorkerReport& r, TimePoint now) {
-    if (ledger_.gone(r.machine)) return std::nullopt;
-    auto& m = ledger_.add(r.machine, r.type, r.zone, r.spot, now);
-    if (m.reported && std::pair(r.tenure, r.tick) <= std::pair(m.tenure, m.tick)) return std::nullopt;
+std::optional<std::vector<Command>> Scheduler::report(const model::Heartbeat& r, TimePoint now) {
+    if (inventory_.gone(r.machine)) return std::nullopt;
+    auto& m = inventory_.add(r.machine, r.type, r.zone, r.spot, now);
+    if (m.reported && std::pair(r.incarnation, r.sequence) <= std::pair(m.incarnation, m.sequence)) return std::nullopt;
     if (!m.reported)
         spdlog::debug("event=machine_up machine={} type={} zone={} spot={}", r.machine, r.type, r.zone, r.spot);
-    if (m.reported && r.tenure > m.tenure) {
+    if (m.reported && r.incarnation > m.incarnation) {
         spdlog::info("event=worker_lease_lost machine={} tasks={} sure={}", m.name, m.tasks.size(), m.current);
         // What was placed before this term may have been started in this very session, if the report before was a copy
         // from an earlier one: it is gone only if the worker had seen this term in that session, when no older leader's
@@ -441,17 +448,18 @@
     if (!m.reported) m.idle_since = now;
     m.reported = true;
     m.addr = r.addr;
-    m.tenure = r.tenure;
-    m.tick = r.tick;
+    m.incarnation = r.incarnation;
+    m.sequence = r.sequence;
     m.last_report = now;
-    m.current = r.token == term_;
+    m.current = r.fencing_token == term_;
     m.reported_tasks = r.tasks.size();
-    if (r.notice) {
-        if (!m.taken_at) spdlog::info("event=spot_notice machine={} seconds={}", m.name, r.notice->count());
-        m.taken_at = after(now, *r.notice);
+    if (r.termination_notice) {
+        if (!m.terminates_at)
+            spdlog::info("event=spot_notice machine={} seconds={}", m.name, r.termination_notice->count());
+        m.terminates_at = after(now, *r.termination_notice);
     }
 
-    std::vector<Order> orders;
+    std::vector<Command> commands;
     ++reports_;
     bool strays = false;
     for (const auto& t : r.tasks) {
@@ -460,8 +468,8 @@
         if (!job || t.id.index >= job->spec.tasks) {
             strays = strays || !ended;
             // Records go only when a job is over, so nothing of it is wanted any more.
-            if (orders.size() < max_orders)
-                orders.push_back({ended ? Verb::clear : Verb::kill, t.id, t.attempt, Seconds(0)});
+            if (commands.size() < max_orders)
+                commands.push_back({ended ? CommandType::clear : CommandType::kill, t.id, t.attempt, Seconds(0)});
             continue;
         }
         auto& task = job->tasks[t.id.index];
@@ -470,34 +478,34 @@
         if (ours) {
             task.shown_in = reports_;
             if (!ended)
-                held(*job, t.id.index, m, t, orders, now);
+                held(*job, t.id.index, m, t, commands, now);
             else if (!task.parked)
                 exited(*job, t.id.index, m, t, now);
             continue;
         }
-        if (ended && t.cause == Cause::done && task.state == State::waiting && !job->cancelled)
+        if (ended && t.exit_reason == ExitReason::done && task.state == State::waiting && !job->cancelled)
             task_done(*job, t.id.index, now);
-        if (orders.size() >= max_orders) continue;
+        if (commands.size() >= max_orders) continue;
         // The worker may forget how a task ended only once the record says so.
         if (!ended)
-            orders.push_back({Verb::kill, t.id, t.attempt, Seconds(0)});
+            commands.push_back({CommandType::kill, t.id, t.attempt, Seconds(0)});
         else if (job->durable(t.id.index))
-            orders.push_back({Verb::clear, t.id, t.attempt, Seconds(0)});
+            commands.push_back({CommandType::clear, t.id, t.attempt, Seconds(0)});
     }
     if (unsettled_ && strays)
         with_strays_.insert(m.name);
     else if (unsettled_)
         with_strays_.erase(m.name);
-    if (m.taken_at) {
+    if (m.terminates_at) {
         // Tasks that cannot end before the machine goes are stopped, so that they save what they can and start
         // elsewhere; the others may as well finish.
         for (const auto& [uid, i] : m.tasks) {
             auto* job = find(uid);
-            if (!job || job->is(Shape::gang)) continue;
+            if (!job || job->is(JobKind::gang)) continue;
             auto& t = job->tasks[i];
-            const Seconds left = *m.taken_at - now;
+            const Seconds left = *m.terminates_at - now;
             const Seconds ran = t.started ? Seconds(now - t.running_since) : Seconds(0);
-            const bool ends = job->is(Shape::array) && t.started && job->spec.estimate - ran < left * 0.8;
+            const bool ends = job->is(JobKind::array) && t.started && job->spec.estimated_runtime - ran < left * 0.8;
             if (!ends) t.draining = true;
         }
     }
@@ -505,13 +513,14 @@
     // what it lacks really not there.
     if (m.current)
         for (const auto& [uid, i] : not_shown(m))
-            if (auto* job = find(uid)) absent(*job, i, m, orders, now);
-    return orders;
+            if (auto* job = find(uid)) absent(*job, i, m, commands, now);
+    return commands;
 }
 
-Scheduler::Prospect Scheduler::prospect(const wire::WorkerReport& r, std::uint64_t passes) const {
-    const auto* m = ledger_.find(r.machine);
-    if (!m || !m->current || m->releasing || std::pair(m->tenure, m->tick) != std::pair(r.tenure, r.tick))
+Scheduler::Prospect Scheduler::prospect(const model::Heartbeat& r, std::uint64_t passes) const {
+    const auto* m = inventory_.find(r.machine);
+    if (!m || !m->current || m->releasing ||
+        std::pair(m->incarnation, m->sequence) != std::pair(r.incarnation, r.sequence))
         return Prospect::nothing;
     for (const auto& [uid, i] : m->tasks)
         if (const auto* j = job(uid); j && !j->tasks[i].sent && !j->tasks[i].seen && !j->tasks[i].draining)
@@ -519,13 +528,13 @@
     return waiting_ && passes == passes_ && !m->cordoned && m->in_use() < 1 ? Prospect::a_plan : Prospect::nothing;
 }
 
-std::vector<Order> Scheduler::runs(const wire::WorkerReport& r) {
-    std::vector<Order> out;
-    auto* m = ledger_.find(r.machine);
-    if (!m || !m->current || std::pair(m->tenure, m->tick) != std::pair(r.tenure, r.tick)) return out;
+std::vector<Command> Scheduler::runs(const model::Heartbeat& r) {
+    std::vector<Command> out;
+    auto* m = inventory_.find(r.machine);
+    if (!m || !m->current || std::pair(m->incarnation, m->sequence) != std::pair(r.incarnation, r.sequence)) return out;
     for (const auto& [uid, i] : m->tasks) {
         auto* job = find(uid);
-        if (!job || job->cancelled || job->finished || (job->is(Shape::gang) && job->gang_failing)) continue;
+        if (!job || job->cancelled || job->finished || (job->is(JobKind::gang) && job->gang_failing)) continue;
         const auto& t = job->tasks[i];
         if (t.sent || t.seen || t.draining || out.size() + 2 > max_orders) continue;
         // A member that waits there under an attempt that was given up must make way first: a worker refuses a task
@@ -533,7 +542,7 @@
         for (const auto& old : r.tasks)
             if (old.id.uid == uid && old.id.index == i && old.attempt != t.attempt && job->durable(i) &&
                 old.status != TaskStatus::exited)
-                out.push_back({Verb::kill, old.id, old.attempt, Seconds(0)});
+                out.push_back({CommandType::kill, old.id, old.attempt, Seconds(0)});
         order_run(*job, i, *m, out);
     }
     return out;
@@ -541,7 +550,7 @@
 
 std::size_t Scheduler::machines_up(TimePoint now) const {
     std::size_t n = 0;
-    for (const auto& [name, m] : ledger_.all()) n += usable(*m, now);
+    for (const auto& [name, m] : inventory_.all()) n += usable(*m, now);
     return n;
 }
 
@@ -554,13 +563,13 @@
         placement::Resources free;
     };
     std::map<std::string, Line> pools;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         auto& line = pools[m->type + "/" + m->zone + (m->spot ? "/spot" : "")];
         ++(!m->reported ? line.booting : usable(*m, now) ? line.up : line.unusable);
         line.empty += m->reported && m->tasks.empty();
         if (m->reported) placement::give(line.free, m->row.free);
         for (const auto& [uid, i] : m->tasks)
-            if (const auto* j = job(uid)) ++line.by_shape[static_cast<int>(j->spec.shape)];
+            if (const auto* j = job(uid)) ++line.by_shape[static_cast<int>(j->spec.kind)];
     }
     std::string out = "waiting=";
     for (const auto& [name, n] : waiting) out += name + ":" + std::to_string(n) + ",";
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -6,9 +6,15 @@
 #include <unordered_map>
 
 #include "config/settings.hpp"
-#include "quota/ledger.hpp"
+#include "model/clock.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
+#include "quota/quota_accounting.hpp"
+#include "scheduler/dependency_graph.hpp"
 #include "scheduler/job.hpp"
-#include "scheduler/prerequisites.hpp"
 #include "state/store.hpp"
 
 namespace flintdale::scheduler {
@@ -35,52 +41,52 @@
 inline constexpr const char* cancelled_work = "cancelled";
 
 // How many of the machines that should report have lately done so.
-struct Hearing {
+struct HeartbeatCoverage {
     std::size_t expected = 0, heard = 0;
     // Machines do not die nearly all at once: if so few are heard, this controller is cut off from them.
-    bool deaf() const { return expected > 2 && heard * 4 < expected; }
+    bool cut_off_from_workers() const { return expected > 2 && heard * 4 < expected; }
 };
 
 struct JobCount {
     std::uint32_t done = 0, running = 0;
 };
 
-inline TimePoint after(TimePoint t, Seconds s) { return t + wire::to_clock(s); }
+inline TimePoint after(TimePoint t, Seconds s) { return t + model::to_clock(s); }
 
 class Scheduler {
   public:
-    Scheduler(const config::Settings& settings, const config::Tunables& tunables, const state::Form& form,
-              std::uint64_t term, std::uint64_t term_stamp, TimePoint now);
+    Scheduler(const config::Settings& settings, const config::Tunables& tunables,
+              const state::RecordFormat& record_format, std::uint64_t term, std::uint64_t term_revision, TimePoint now);
 
     // --- What others tell it ---
     // All records of open work, read after the term was won. May come again; jobs already known are left alone. `at` is
     // the time of day, for how long jobs have waited under leaders before.
-    void load(const std::vector<state::Item>& work, TimePoint now, std::int64_t at = 0);
+    void load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t at = 0);
     // A job was accepted, or is over: one of its keys. False if that is no news. `at`, the time of day, tells for how
     // long what is read late has been so.
-    bool job_changed(const state::Item& item, TimePoint now, std::int64_t at = 0);
+    bool job_changed(const state::KeyValue& item, TimePoint now, std::int64_t at = 0);
     // A peer says that users were told so; the record follows when the state service answers. False if that is no news.
     bool cancelled_elsewhere(const std::string& uid, TimePoint now);
     // Whether a record of open work shows a task further than this leader knows it to be. Only leaders write where
     // tasks are, so it was put back after a loss, and this leader has read all without it. `over`: jobs that are.
-    bool older_than(const state::Item& item, const std::function<bool(const std::string&)>& over) const;
+    bool older_than(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const;
     // The job, read as open work, has had an outcome for so long. Done or cancelled, it is the same now: what may be
     // left of it must go.
     void ended(const std::string& uid, TimePoint now, Seconds ago = Seconds(0));
     // A report, and the orders that answer it; nothing if it is older than what is known or must not be answered.
-    std::optional<std::vector<wire::Order>> report(const wire::WorkerReport& r, TimePoint now);
+    std::optional<std::vector<model::Command>> report(const model::Heartbeat& r, TimePoint now);
     // What to expect for a worker whose report was just heard and is not answered yet.
     enum class Prospect : std::uint8_t { nothing, a_plan, a_write };
     // a_write: tasks placed there are not on record yet; a_plan: it has room, and work waits that was not planned since
     // that many passes.
-    Prospect prospect(const wire::WorkerReport& r, std::uint64_t passes) const;
+    Prospect prospect(const model::Heartbeat& r, std::uint64_t passes) const;
     std::uint64_t passes() const { return passes_; }
     // Runs of tasks placed since that report, for its answer; none if the worker has reported again meanwhile.
-    std::vector<wire::Order> runs(const wire::WorkerReport& r);
-    void catalog(std::vector<wire::MachineType> types);
-    void listed(const std::vector<wire::ListedMachine>& machines, TimePoint now);
+    std::vector<model::Command> runs(const model::Heartbeat& r);
+    void catalog(std::vector<model::MachineType> types);
+    void listed(const std::vector<model::ListedMachine>& machines, TimePoint now);
     void rented(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now);
-    void rent_refused(const fleet::Pool& pool, TimePoint now) { ledger_.refused(pool, now); }
+    void rent_refused(const fleet::Pool& pool, TimePoint now) { inventory_.refused(pool, now); }
     void released(const std::vector<std::string>& machines, TimePoint now);
 
     // --- What it wants done ---
@@ -88,13 +94,13 @@
     bool place(TimePoint now);
     // Moves tasks to where they start sooner, and services off machines that are not worth their price.
     void improve(TimePoint now);
-    std::vector<fleet::Order> rent(TimePoint now);
+    std::vector<fleet::InstanceRequest> rent(TimePoint now);
     std::vector<Release> release(TimePoint now) const;
     // The release is about to be sent: whatever becomes of it, these machines are not used again.
     void releasing(const std::vector<Release>& machines);
-    Hearing hearing(TimePoint now) const;
+    HeartbeatCoverage heartbeat_coverage(TimePoint now) const;
     // This process stood still for so long: what it did not hear meanwhile says nothing about the machines.
-    void stood_still(wire::Clock::duration gap);
+    void process_paused(model::Clock::duration gap);
 
     // The records are rebuilt and may lack the last placements. A job is placed once every machine that its tasks may
     // be on has been heard under this term, or is gone by the cloud's word, or cannot have been up; and what workers
@@ -114,7 +120,7 @@
     // The service will never take the batch as it is.
     void rejected(const Batch& batch, TimePoint now);
     // The batch failed or its fate is unknown, and its keys were read again.
-    void reread(const state::Item& item, TimePoint now);
+    void reread(const state::KeyValue& item, TimePoint now);
     void retry(const Batch& batch);
     // Records of jobs that are over, to be removed when there is nothing better to write.
     state::Txn leftovers(std::size_t most);
@@ -126,11 +132,11 @@
     std::optional<JobCount> count(const std::string& uid) const;
     std::vector<std::pair<std::string, JobCount>> take_counts();
     std::uint64_t term() const { return term_; }
-    std::uint64_t term_stamp() const { return term_stamp_; }
-    fleet::Ledger& ledger() { return ledger_; }
+    std::uint64_t term_revision() const { return term_revision_; }
+    fleet::MachineInventory& inventory() { return inventory_; }
     // The teams' figures, where they are others than in the settings.
     void set_teams(quota::Table table) { teams_.set(std::move(table)); }
-    const quota::Ledger& teams() const { return teams_; }
+    const quota::QuotaAccounting& teams() const { return teams_; }
     const Job* job(const std::string& uid) const;
     std::size_t machines_up(TimePoint now) const;
     // What waits, by class, and what each machine holds, for the debug log.
@@ -147,13 +153,13 @@
     std::int64_t window_at(std::int64_t ms) const;
     struct Found;
     void recover(const std::string& uid, Found& found, TimePoint now, std::int64_t at);
-    Job* assembled(const WorkKey& key, const state::Item& item, TimePoint now, bool recovering);
+    Job* assembled(const WorkKey& key, const state::KeyValue& item, TimePoint now, bool recovering);
     // Zones of which hardly a machine has reported in the last moments, though many should have.
     std::vector<bool> quiet_zones(TimePoint now) const;
     // What the graph of prerequisites says of open jobs.
-    void need(Job& job, const std::vector<std::string>& prerequisites, TimePoint now);
-    bool take_in(const Prerequisites::News& news, TimePoint now);
-    boost::json::object outcome(const Job& job, wire::JobState state, std::int64_t at) const;
+    void need(Job& job, const std::vector<std::string>& dependencies, TimePoint now);
+    bool take_in(const DependencyGraph::News& news, TimePoint now);
+    boost::json::object outcome(const Job& job, model::JobState state, std::int64_t at) const;
     // The records of the job that have to be written, each within the limit on values.
     std::vector<std::pair<std::uint32_t, boost::json::object>> changed_records(Job& job);
     void cancel(Job& job, TimePoint at);
@@ -171,17 +177,17 @@
     void lost(Job& job, std::uint32_t task, TimePoint now);
     void all_lost(Machine& m, bool only_sent, TimePoint now);
     void task_done(Job& job, std::uint32_t task, TimePoint now);
-    void exited(Job& job, std::uint32_t task, Machine& m, const wire::TaskReport& r, TimePoint now);
+    void exited(Job& job, std::uint32_t task, Machine& m, const model::TaskReport& r, TimePoint now);
     void blame(Job& job, Machine& m, TimePoint now);
     // Starts a gang anew where it is, once all its members are ready of which some gave up waiting.
     void regroup(Job& job, TimePoint now);
     // Gives up the places of members that wait for others which have found none.
     void unpark(TimePoint now);
-    void held(Job& job, std::uint32_t task, Machine& m, const wire::TaskReport& r, std::vector<wire::Order>& orders,
-              TimePoint now);
-    void absent(Job& job, std::uint32_t task, Machine& m, std::vector<wire::Order>& orders, TimePoint now);
+    void held(Job& job, std::uint32_t task, Machine& m, const model::TaskReport& r,
+              std::vector<model::Command>& commands, TimePoint now);
+    void absent(Job& job, std::uint32_t task, Machine& m, std::vector<model::Command>& commands, TimePoint now);
     std::vector<TaskKey> not_shown(const Machine& m);
-    void order_run(Job& job, std::uint32_t task, const Machine& m, std::vector<wire::Order>& orders);
+    void order_run(Job& job, std::uint32_t task, const Machine& m, std::vector<model::Command>& commands);
     bool usable(const Machine& m, TimePoint now) const;
     const placement::Ask& ask_of(const Job& job) const;
     placement::JobHosts hosts_of(const Job& job) const;
@@ -189,12 +195,12 @@
     placement::Planner planner(TimePoint now) const;
     std::uint32_t within_limit(const Job& job, std::uint32_t tasks) const;
     bool round_heard(TimePoint now) const;
-    wire::Clock::duration list_age() const;
+    model::Clock::duration list_age() const;
     bool heard(const Machine& m) const;
     bool all_listed() const;
     bool all_heard() const;
     std::vector<Job*> certain(std::vector<Job*> jobs) const;
-    bool adopt(Job& job, Machine& m, const wire::TaskReport& r, TimePoint now);
+    bool adopt(Job& job, Machine& m, const model::TaskReport& r, TimePoint now);
     void place_gang(Job& job, placement::Planner& plan, TimePoint now, bool& any);
     struct Move {
         std::string uid;
@@ -220,7 +226,7 @@
     std::vector<TaskKey> victims(const Job& job, const Machine& m, placement::Host& host,
                                  const placement::Planner& plan, const placement::JobHosts& hosts,
                                  const std::vector<TaskKey>& spared, TimePoint now, Seconds& loss) const;
-    bool lower_arrays(wire::Rank rank) const;
+    bool lower_arrays(model::Priority priority) const;
     bool guaranteed(const Job& job) const { return teams_.guaranteed(job.spec.team, job.spec.uid); }
     bool gives_way(const Job& other, const Job& job) const;
     std::map<std::string, quota::Amount> stopping() const;
@@ -239,21 +245,21 @@
     void rent_for_gang(const Job& job, Basket& basket, placement::Planner& plan, TimePoint now) const;
 
     const config::Settings& settings_;
-    const state::Form& form_;
+    const state::RecordFormat& record_format_;
     const config::Tunables& tunables_;
     placement::Rules rules_;
-    std::uint64_t term_, term_stamp_;
+    std::uint64_t term_, term_revision_;
     TimePoint since_;
     bool inherited_ = false;  // work was placed when this term began
     bool unsettled_ = false, loss_seen_ = false;
     TimePoint listed_at_{};              // when the cloud's list last came
     std::set<std::string> with_strays_;  // machines that last showed tasks of jobs that nobody knows
-    fleet::Ledger ledger_;
+    fleet::MachineInventory inventory_;
     std::map<std::string, std::unique_ptr<Job>> jobs_;
-    Prerequisites prerequisites_;
+    DependencyGraph dependency_graph_;
     // Submissions that were cut, until all of one is there.
     struct Cut {
-        state::Item first;
+        state::KeyValue first;
         std::map<std::uint32_t, std::string> pieces;
         std::vector<OldRecord> records;
     };
@@ -264,7 +270,7 @@
     std::deque<std::pair<TimePoint, std::string>> due_later_;  // when they become dirty
     std::set<std::string> later_set_;
     std::vector<std::pair<std::string, std::uint64_t>> leftovers_;  // keys of jobs that are over, with their stamps
-    quota::Ledger teams_;
+    quota::QuotaAccounting teams_;
     std::array<std::size_t, 4> array_tasks_{};  // placed ones, by rank
     std::set<std::string> counts_changed_;
     std::set<std::string> parked_;  // gangs with parked members
--- a/src/scheduler/scheduler_fleet.cpp
+++ b/src/scheduler/scheduler_fleet.cpp
@@ -4,16 +4,18 @@
 #include <algorithm>
 #include <cmath>
 
+#include "model/job.hpp"
+#include "model/machine.hpp"
 #include "scheduler/lease_rule.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace flintdale::scheduler {
 
+using model::JobKind;
+using model::Priority;
 using placement::Host;
 using placement::JobHosts;
 using placement::Planner;
-using wire::Rank;
-using wire::Shape;
 
 namespace {
 constexpr int max_rent = 50;  // per request, by the cloud's rules
@@ -30,22 +32,22 @@
 constexpr double silent_reports = 1.7;  // report intervals that a machine must at least be silent to be given up
 }  // namespace
 
-Seconds Scheduler::target_of(const wire::JobSpec& spec) const {
+Seconds Scheduler::target_of(const model::JobSpec& spec) const {
     Seconds best{0};
     for (const auto& o : settings_.objectives)
         if (o.kind == "finished" && o.job_class == spec.job_class && o.within.count() > 0 &&
             (best.count() == 0 || o.within < best))
             best = o.within;
     if (spec.deadline && (best.count() == 0 || *spec.deadline < best)) best = *spec.deadline;
-    return best.count() > 0 ? best : spec.estimate * 4;
+    return best.count() > 0 ? best : spec.estimated_runtime * 4;
 }
 
 // Tasks of an array follow one another on a machine; only what does not fit into its time needs room at once.
 std::uint32_t Scheduler::wanted_now(const Job& job) const {
     const auto waiting = std::min(job.waiting(), max_planned_tasks);
-    if (!job.is(Shape::array) || job.spec.estimate.count() <= 0) return waiting;
-    const auto span = std::max(target_of(job.spec) * tunables_.horizon, job.spec.estimate);
-    const double rounds = std::max(1.0, std::floor(span / job.spec.estimate));
+    if (!job.is(JobKind::array) || job.spec.estimated_runtime.count() <= 0) return waiting;
+    const auto span = std::max(target_of(job.spec) * tunables_.horizon, job.spec.estimated_runtime);
+    const double rounds = std::max(1.0, std::floor(span / job.spec.estimated_runtime));
     const auto total = static_cast<std::uint32_t>(std::ceil((job.waiting() + job.placed) / rounds));
     return std::min(waiting, total > job.placed ? total - job.placed : 0);
 }
@@ -61,24 +63,24 @@
 std::optional<fleet::Pool> Scheduler::cheapest(const Job& job, const JobHosts& hosts, std::uint32_t count,
                                                const Basket& basket, TimePoint now) const {
     const auto& ask = ask_of(job);
-    auto& directory = ledger_.directory();
+    auto& directory = inventory_.directory();
     std::optional<fleet::Pool> best;
     std::pair<double, unsigned> best_cost{};
     double cheapest_each = 0;  // of all kinds of machine, those without capacity included
-    for (const auto& type : ledger_.types()) {
+    for (const auto& type : inventory_.types()) {
         if (!placement::fits(job.spec.need, type.capacity)) continue;
         const auto full = placement::slots(job.spec.need, type.capacity);
         const double each = std::min(full, std::max(1u, count));
         // Services stay for good: enough of them to fill a large machine are worth its higher price, for gangs
         // need the small ones whole.
-        const bool bulk = job.is(Shape::service) && count >= full;
+        const bool bulk = job.is(JobKind::service) && count >= full;
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
                 if (!ask.takes(directory.pool(type.name, zone, spot))) continue;
                 fleet::Pool pool{type.name, zone, spot};
                 const double each_cost = (spot ? type.spot_price : type.price) / std::max(1.0, each);
                 if (cheapest_each == 0 || each_cost < cheapest_each) cheapest_each = each_cost;
-                if (!ledger_.open(pool, now)) continue;
+                if (!inventory_.open(pool, now)) continue;
                 if (const auto z = directory.zone(zone); z < basket.quiet_zones.size() && basket.quiet_zones[z])
                     continue;
                 const double worth = basket.late.contains(pool) ? each_cost * late_cost : each_cost;
@@ -95,21 +97,21 @@
             }
     }
     // Idle work has no haste, and must not use up what others will want to rent.
-    if (best && job.rank == Rank::idle && best_cost.first > cheapest_each * idle_dear) return std::nullopt;
+    if (best && job.priority == Priority::idle && best_cost.first > cheapest_each * idle_dear) return std::nullopt;
     // Tasks of an array can follow one another on cheap machines; dear ones are for those that wait too long.
-    if (best && job.is(Shape::array) && best_cost.first > cheapest_each * tunables_.dear &&
-        now - job.arrived < wire::to_clock(target_of(job.spec) * 0.5))
+    if (best && job.is(JobKind::array) && best_cost.first > cheapest_each * tunables_.dear &&
+        now - job.arrived < model::to_clock(target_of(job.spec) * 0.5))
         return std::nullopt;
     return best;
 }
 
 // Puts one machine more into the basket and into the plan.
 std::size_t Scheduler::put_in(Basket& basket, const fleet::Pool& pool, Planner& plan) const {
-    const auto* type = ledger_.type(pool.type);
+    const auto* type = inventory_.type(pool.type);
     Host h;
     h.slot = Planner::no_slot;
-    h.pool = ledger_.directory().pool(pool.type, pool.zone, pool.spot);
-    h.zone = ledger_.directory().zone(pool.zone);
+    h.pool = inventory_.directory().pool(pool.type, pool.zone, pool.spot);
+    h.zone = inventory_.directory().zone(pool.zone);
     h.spot = pool.spot;
     h.capacity = h.free = type->capacity;
     h.fetch_gb_per_s = type->fetch_gb_per_s;
@@ -131,7 +133,7 @@
     std::optional<placement::Id> zone;
     auto there = hosts;
     if (job.spec.one_zone) {
-        zone = ledger_.directory().zone(first->zone);
+        zone = inventory_.directory().zone(first->zone);
         there.add_to_zone(*zone);
     }
     auto room = plan.room_in(ask, hosts, tasks, zone);
@@ -144,17 +146,17 @@
     }
 }
 
-std::vector<fleet::Order> Scheduler::rent(TimePoint now) {
-    if (unsettled_ || !round_heard(now) || hearing(now).deaf()) return {};
+std::vector<fleet::InstanceRequest> Scheduler::rent(TimePoint now) {
+    if (unsettled_ || !round_heard(now) || heartbeat_coverage(now).cut_off_from_workers()) return {};
     auto plan = planner(now);
     Basket basket;
     basket.quiet_zones = quiet_zones(now);
     std::map<fleet::Pool, std::pair<int, int>> on_their_way;  // late ones, all
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         bool coming = !m->reported && m->tasks.empty();
-        if (const auto* type = ledger_.type(m->type); coming && type) {
+        if (const auto* type = inventory_.type(m->type); coming && type) {
             // What should long be up may never be: nothing waits for it. It is used all the same if it comes after all.
-            const bool late = now - m->known_since > wire::to_clock(type->boot * late_boots);
+            const bool late = now - m->known_since > model::to_clock(type->boot * late_boots);
             auto& [late_ones, all] = on_their_way[{m->type, m->zone, m->spot}];
             late_ones += late;
             ++all;
@@ -170,29 +172,30 @@
     // Services come one by one as well as many to a job: what counts is how many of a class wait together.
     std::map<std::string, std::uint32_t> services;
     for (const auto* job : waiting)
-        if (job->is(Shape::service) && !job->doubtful()) services[job->spec.job_class] += job->waiting();
+        if (job->is(JobKind::service) && !job->doubtful()) services[job->spec.job_class] += job->waiting();
     for (const auto* job : waiting) {
         if (job->doubtful()) continue;
-        if (job->is(Shape::gang) && job->placed == 0) {
+        if (job->is(JobKind::gang) && job->placed == 0) {
             rent_for_gang(*job, basket, plan, now);
             continue;
         }
-        if (job->is(Shape::gang) && (job->gang_started || job->gang_failing)) continue;
+        if (job->is(JobKind::gang) && (job->gang_started || job->gang_failing)) continue;
         const auto& ask = ask_of(*job);
         auto hosts = hosts_of(*job);
         auto count = within_limit(*job, wanted_now(*job));
         auto& alike = services[job->spec.job_class];
         const auto housed = [&](std::size_t n) {
             count -= static_cast<std::uint32_t>(n);
-            if (job->is(Shape::service)) alike -= std::min(alike, static_cast<std::uint32_t>(n));
+            if (job->is(JobKind::service)) alike -= std::min(alike, static_cast<std::uint32_t>(n));
         };
         // Many services together are worth large machines; to plan them onto small ones that boot for others would only
         // have those rented again.
         if (const auto pool =
-                job->is(Shape::service) ? cheapest(*job, hosts, std::max(count, alike), basket, now) : std::nullopt)
-            housed(plan.place_many(at_least(*job, placement::slots(job->spec.need, ledger_.type(pool->type)->capacity)),
-                                   hosts, count)
-                       .size());
+                job->is(JobKind::service) ? cheapest(*job, hosts, std::max(count, alike), basket, now) : std::nullopt)
+            housed(
+                plan.place_many(at_least(*job, placement::slots(job->spec.need, inventory_.type(pool->type)->capacity)),
+                                hosts, count)
+                    .size());
         else
             housed(plan.place_many(ask, hosts, count).size());
         while (count > 0) {
@@ -203,45 +206,45 @@
             housed(n);
         }
     }
-    std::vector<fleet::Order> out;
+    std::vector<fleet::InstanceRequest> out;
     for (const auto& [pool, n] : basket.ordered)
         for (int left = n; left > 0; left -= max_rent) out.push_back({pool, std::min(left, max_rent)});
     return out;
 }
 
 void Scheduler::rented(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
-    ledger_.granted(pool);
+    inventory_.granted(pool);
     for (const auto& name : machines)
-        if (!ledger_.gone(name)) ledger_.add(name, pool.type, pool.zone, pool.spot, now);
+        if (!inventory_.gone(name)) inventory_.add(name, pool.type, pool.zone, pool.spot, now);
 }
 
-void Scheduler::catalog(std::vector<wire::MachineType> types) { ledger_.set_types(std::move(types)); }
+void Scheduler::catalog(std::vector<model::MachineType> types) { inventory_.set_types(std::move(types)); }
 
-void Scheduler::listed(const std::vector<wire::ListedMachine>& machines, TimePoint now) {
+void Scheduler::listed(const std::vector<model::ListedMachine>& machines, TimePoint now) {
     listed_at_ = now;
     for (const auto& l : machines) {
         // The list lags: what it still shows may be gone already, and then it must not come back.
-        if (ledger_.gone(l.name)) continue;
-        const bool fresh = !ledger_.find(l.name);
-        auto& m = ledger_.add(l.name, l.type, l.zone, l.spot, now);
-        if (fresh) m.known_since = now - wire::to_clock(l.age);
-        m.listed_failed = l.status == wire::MachineStatus::failed;
-        if (l.status == wire::MachineStatus::booting) m.starting_at = now;
+        if (inventory_.gone(l.name)) continue;
+        const bool fresh = !inventory_.find(l.name);
+        auto& m = inventory_.add(l.name, l.type, l.zone, l.spot, now);
+        if (fresh) m.known_since = now - model::to_clock(l.age);
+        m.listed_failed = l.status == model::MachineStatus::failed;
+        if (l.status == model::MachineStatus::booting) m.starting_at = now;
     }
     // A list may be twice as old as usual, and does not show machines that are younger than that.
     std::set<std::string_view> names;
     for (const auto& l : machines) names.insert(l.name);
-    for (auto& [name, m] : ledger_.all())
+    for (auto& [name, m] : inventory_.all())
         m->unlisted =
-            !names.contains(name) && now - m->known_since > wire::to_clock(settings_.list_lag * 3 + Seconds(2));
+            !names.contains(name) && now - m->known_since > model::to_clock(settings_.list_lag * 3 + Seconds(2));
 }
 
-Hearing Scheduler::hearing(TimePoint now) const {
-    Hearing out;
-    for (const auto& [name, m] : ledger_.all()) {
+HeartbeatCoverage Scheduler::heartbeat_coverage(TimePoint now) const {
+    HeartbeatCoverage out;
+    for (const auto& [name, m] : inventory_.all()) {
         if (m->releasing || m->unlisted || m->listed_failed || (!m->reported && m->tasks.empty())) continue;
         ++out.expected;
-        out.heard += now - m->last_report < wire::to_clock(overdue());
+        out.heard += now - m->last_report < model::to_clock(overdue());
     }
     return out;
 }
@@ -254,11 +257,11 @@
         std::size_t expected = 0, heard = 0;
     };
     std::vector<Count> zones;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         if (m->releasing || m->unlisted || m->listed_failed || (!m->reported && m->tasks.empty())) continue;
         if (m->row.zone >= zones.size()) zones.resize(m->row.zone + 1);
         ++zones[m->row.zone].expected;
-        zones[m->row.zone].heard += m->reported && now - m->last_report < wire::to_clock(settings_.report * 0.5);
+        zones[m->row.zone].heard += m->reported && now - m->last_report < model::to_clock(settings_.report * 0.5);
     }
     std::vector<bool> out(zones.size());
     for (std::size_t z = 0; z < zones.size(); ++z)
@@ -285,29 +288,29 @@
 std::vector<Release> Scheduler::release(TimePoint now) const {
     // Many machines silent at once more likely means that this controller is cut off than that all have died.
     std::map<bool, std::pair<int, int>> silent;  // by spot: silent, all
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         if (m->releasing || (!m->reported && m->tasks.empty())) continue;
         auto& [quiet, total] = silent[m->spot];
         ++total;
-        quiet += now - m->last_report > wire::to_clock(overdue());
+        quiet += now - m->last_report > model::to_clock(overdue());
     }
-    const bool deaf = hearing(now).deaf();
+    const bool cut_off_from_workers = heartbeat_coverage(now).cut_off_from_workers();
     const auto quiet = quiet_zones(now);
     std::vector<Release> out;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         const char* why = nullptr;
-        const auto* type = ledger_.type(m->type);
+        const auto* type = inventory_.type(m->type);
         const Seconds boot = type ? type->boot : Seconds(60);
         const Seconds unheard = now - m->last_report;
         if (m->releasing) {
             why = "again";
         } else if (m->listed_failed) {
             why = "failed";
-        } else if (m->taken_at && now > after(*m->taken_at, Seconds(1)) && unheard > settings_.report * 1.5) {
+        } else if (m->terminates_at && now > after(*m->terminates_at, Seconds(1)) && unheard > settings_.report * 1.5) {
             why = "taken";
         } else if (!m->reported && m->tasks.empty()) {
-            if (now - m->known_since > wire::to_clock(std::max(boot * tunables_.boot_patience, Seconds(30))) &&
-                now - since_ > wire::to_clock(settings_.report * 4))
+            if (now - m->known_since > model::to_clock(std::max(boot * tunables_.boot_patience, Seconds(30))) &&
+                now - since_ > model::to_clock(settings_.report * 4))
                 why = "never_up";
         } else {
             const auto [unheard_of, total] = silent[m->spot];
@@ -317,18 +320,18 @@
             const auto quiet_for = std::max(tunables_.silent, settings_.report * silent_reports);
             // While hardly anyone is heard, the term should pass to a controller that hears more: to return the whole
             // fleet first would leave it nothing (inc-8739, inc-e02a).
-            auto patience = many && deaf ? settings_.lease * deaf_leases
+            auto patience = many && cut_off_from_workers ? settings_.lease * deaf_leases
                             : many ? std::max(settings_.lease + Seconds(5), listed_dead + settings_.list_lag * 1.5)
                                    : std::min(quiet_for, settings_.lease);
             // Of a zone that is cut off nothing can be replaced there, and what its machines hold is worth a wait as
             // long as it takes to have it again. Those that died are listed as such before.
             if (!m->unlisted && m->row.zone < quiet.size() && quiet[m->row.zone])
                 patience = std::max(patience, settings_.lease + boot * zone_boots);
-            if (unheard > patience && now - since_ > wire::to_clock(std::min(patience, settings_.lease)))
+            if (unheard > patience && now - since_ > model::to_clock(std::min(patience, settings_.lease)))
                 why = "silent";
             const Seconds idle = now - m->idle_since;
             if (!why && m->tasks.empty() && m->reported_tasks == 0 && unheard < settings_.report * 2 &&
-                (m->suspect || m->retiring || m->cordoned || idle > m->again(boot) * tunables_.idle_boots))
+                (m->quarantined || m->retiring || m->cordoned || idle > m->again(boot) * tunables_.idle_boots))
                 why = "idle";
         }
         // Whatever else speaks for it: in an outage no other reason counts, also where it was named before, or
@@ -346,7 +349,7 @@
 
 void Scheduler::releasing(const std::vector<Release>& machines) {
     for (const auto& [name, why] : machines) {
-        auto* m = ledger_.find(name);
+        auto* m = inventory_.find(name);
         if (!m || m->releasing) continue;
         spdlog::info("event=machine_release machine={} type={} spot={} tasks={} why={}", name, m->type, m->spot,
                      m->tasks.size(), why);
@@ -354,17 +357,17 @@
     }
 }
 
-void Scheduler::stood_still(wire::Clock::duration gap) {
+void Scheduler::process_paused(model::Clock::duration gap) {
     since_ += gap;
-    for (auto& [name, m] : ledger_.all()) m->last_report += gap;
+    for (auto& [name, m] : inventory_.all()) m->last_report += gap;
 }
 
 void Scheduler::released(const std::vector<std::string>& machines, TimePoint now) {
     for (const auto& name : machines) {
-        auto* m = ledger_.find(name);
+        auto* m = inventory_.find(name);
         if (!m) continue;
         all_lost(*m, false, now);
-        ledger_.remove(name);
+        inventory_.remove(name);
     }
 }
 
--- a/src/scheduler/scheduler_moves.cpp
+++ b/src/scheduler/scheduler_moves.cpp
@@ -4,13 +4,14 @@
 #include <algorithm>
 #include <cmath>
 
+#include "model/job.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace flintdale::scheduler {
 
+using model::JobKind;
 using placement::JobHosts;
 using placement::Planner;
-using wire::Shape;
 using State = Task::State;
 
 namespace {
@@ -31,7 +32,7 @@
 
 void Scheduler::start_move(const Job& job, std::uint32_t task, placement::Id to, TimePoint now) {
     spdlog::debug("event=move task={}/{} from={} to={}", job.spec.uid, task, job.tasks[task].machine->name,
-                  ledger_.at(to)->name);
+                  inventory_.at(to)->name);
     find(job.spec.uid)->tasks[task].draining = true;
     moves_.push_back({job.spec.uid, to, task, after(now, settings_.report * 4)});
 }
@@ -51,7 +52,7 @@
         auto hosts = hosts_of(*job);
         if (within_limit(*job, 1) == 0 || !plan.place_at(to, ask_of(*job), hosts, 1)) return true;
         std::erase(job->again, move.task);
-        set_placed(*job, move.task, *ledger_.at(move.to), t.attempt + 1, now);
+        set_placed(*job, move.task, *inventory_.at(move.to), t.attempt + 1, now);
         touch(*job, move.task, Write::at_once, now);
         any = true;
         return true;
@@ -61,7 +62,7 @@
 // A task that still waits for its image starts sooner on a machine that has got it meanwhile.
 void Scheduler::move_fetching(Planner& plan, TimePoint now) {
     for (auto& [uid, job] : jobs_) {
-        if (!job->is(Shape::service) || job->cancelled || job->finished || job->placed <= job->running) continue;
+        if (!job->is(JobKind::service) || job->cancelled || job->finished || job->placed <= job->running) continue;
         for (std::uint32_t i = 0; i < job->spec.tasks; ++i) {
             const auto& t = job->tasks[i];
             if (t.state != State::placed || !t.seen || t.started || t.draining) continue;
@@ -83,17 +84,17 @@
 Machine* Scheduler::sparsest(Planner& plan, TimePoint now) {
     Machine* worst = nullptr;
     double worst_price = 0;
-    for (auto& [name, m] : ledger_.all()) {
-        const auto* type = ledger_.type(m->type);
+    for (auto& [name, m] : inventory_.all()) {
+        const auto* type = inventory_.type(m->type);
         if (!type || m->tasks.empty() || !usable(*m, now) || m->reported_tasks != m->tasks.size()) continue;
         double cheapest = 0;  // a slot of the kind, on any machine
         bool movable = true;
         for (const auto& [uid, i] : m->tasks) {
             const auto* j = job(uid);
-            movable = movable && j && j->is(Shape::service) && j->tasks[i].started && !j->cancelled &&
-                      !j->tasks[i].draining && now - j->tasks[i].running_since > wire::to_clock(settled);
+            movable = movable && j && j->is(JobKind::service) && j->tasks[i].started && !j->cancelled &&
+                      !j->tasks[i].draining && now - j->tasks[i].running_since > model::to_clock(settled);
             if (!movable) break;
-            for (const auto& t : ledger_.types())
+            for (const auto& t : inventory_.types())
                 if (const auto n = placement::slots(j->spec.need, t.capacity);
                     n > 0 && (cheapest == 0 || t.price / n < cheapest))
                     cheapest = t.price / n;
@@ -169,8 +170,8 @@
     Seconds again{0};  // summed over all
     std::size_t machines = 0;
     std::vector<Spare> choices;
-    for (auto& [name, m] : ledger_.all()) {
-        const auto* type = ledger_.type(m->type);
+    for (auto& [name, m] : inventory_.all()) {
+        const auto* type = inventory_.type(m->type);
         if (!type || !usable(*m, now)) continue;
         const double price = m->spot ? type->spot_price : type->price;
         const double waste = price * (1 - m->in_use());
@@ -190,7 +191,7 @@
     // Where images take long, room is also what lets them be fetched side by side.
     again /= static_cast<double>(machines);
     std::erase_if(choices, [&](const Spare& c) {
-        const auto own = c.machine->again(ledger_.type(c.machine->type)->boot);
+        const auto own = c.machine->again(inventory_.type(c.machine->type)->boot);
         return now < after(spare_since_, std::max(own, again) * tunables_.spare_patience);
     });
     std::sort(choices.begin(), choices.end(), [](const Spare& a, const Spare& b) {
@@ -209,7 +210,7 @@
 
 // Room is wanted again.
 void Scheduler::uncordon() {
-    for (auto& [name, m] : ledger_.all()) m->cordoned = false;
+    for (auto& [name, m] : inventory_.all()) m->cordoned = false;
 }
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/scheduler_place.cpp
+++ b/src/scheduler/scheduler_place.cpp
@@ -4,16 +4,17 @@
 #include <algorithm>
 #include <cmath>
 
+#include "model/job.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace flintdale::scheduler {
 
 using namespace std::chrono_literals;
+using model::JobKind;
+using model::Priority;
 using placement::Host;
 using placement::JobHosts;
 using placement::Planner;
-using wire::Rank;
-using wire::Shape;
 using State = Task::State;
 
 namespace {
@@ -25,15 +26,15 @@
 }  // namespace
 
 bool Scheduler::usable(const Machine& m, TimePoint now) const {
-    return m.reported && !m.releasing && !m.retiring && !m.cordoned && !m.suspect && !m.taken_at && !m.listed_failed &&
-           now - m.last_report < wire::to_clock(settings_.report * quiet_reports);
+    return m.reported && !m.releasing && !m.retiring && !m.cordoned && !m.quarantined && !m.terminates_at &&
+           !m.listed_failed && now - m.last_report < model::to_clock(settings_.report * quiet_reports);
 }
 
 const placement::Ask& Scheduler::ask_of(const Job& job) const {
     // Pools become known as machines of theirs appear.
-    if (job.ask.pools.size() != ledger_.directory().pools().size() || !job.ask.spec)
-        job.ask = placement::make_ask(job.spec, rules_, ledger_.directory());
-    job.ask.rank = job.rank;
+    if (job.ask.pools.size() != inventory_.directory().pools().size() || !job.ask.spec)
+        job.ask = placement::make_ask(job.spec, rules_, inventory_.directory());
+    job.ask.priority = job.priority;
     return job.ask;
 }
 
@@ -46,11 +47,11 @@
                 out.own.push_back(t.machine->row.slot);
             }
     // The replacement of a gang's task must not meet its own earlier exit.
-    if (job.is(Shape::gang)) out.excluded = out.own;
+    if (job.is(JobKind::gang)) out.excluded = out.own;
     // Where some of a job goes well and some fails on many machines, the machines are not to blame.
     if (job.failed_on.size() <= 2 || job.doubtful())
         for (const auto& name : job.failed_on)
-            if (const auto* m = ledger_.find(name)) out.excluded.push_back(m->row.slot);
+            if (const auto* m = inventory_.find(name)) out.excluded.push_back(m->row.slot);
     return out;
 }
 
@@ -62,11 +63,11 @@
         if (eligible_only && now < job->eligible_at) continue;
         placement::Waiting w;
         w.guaranteed = guarantees && guaranteed(*job);
-        w.rank = job->rank;
+        w.priority = job->priority;
         // What its window could not place waits in one queue with the rest of that kind, ahead of new windows:
         // else, under load, the order would be that of arrival, and the short would wait for the long.
         w.window = job->passed_over ? merged_window : job->window;
-        w.length = job->spec.estimate * job->waiting();
+        w.length = job->spec.estimated_runtime * job->waiting();
         w.waited = now - job->arrived;
         w.uid = uid;
         waiting.emplace_back(w, job.get());
@@ -81,7 +82,7 @@
 
 Planner Scheduler::planner(TimePoint now) const {
     std::vector<Host> hosts;
-    for (const auto& [name, m] : ledger_.all())
+    for (const auto& [name, m] : inventory_.all())
         if (usable(*m, now) && (!unsettled_ || heard(*m))) hosts.push_back(m->row);
     return Planner(std::move(hosts), rules_.memory_margin);
 }
@@ -112,7 +113,7 @@
         if (within_limit(job, missing) < missing) return;
         for (const auto at : plan.place_many(ask, hosts, missing)) {
             const auto i = take_waiting(job);
-            set_placed(job, i, *ledger_.at(plan.host(at).slot), job.gang_attempt, now);
+            set_placed(job, i, *inventory_.at(plan.host(at).slot), job.gang_attempt, now);
             touch(job, i, Write::at_once, now);
             any = true;
         }
@@ -138,7 +139,7 @@
     std::size_t next = 0;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
         if (job.tasks[i].state != State::waiting) continue;
-        set_placed(job, i, *ledger_.at(plan.host(places[next++]).slot), job.gang_attempt, now);
+        set_placed(job, i, *inventory_.at(plan.host(places[next++]).slot), job.gang_attempt, now);
         touch(job, i, Write::at_once, now);
     }
     any = true;
@@ -155,7 +156,7 @@
     }
     const auto put = [&](std::size_t at) {
         const auto i = take_waiting(job);
-        set_placed(job, i, *ledger_.at(plan.host(at).slot), job.tasks[i].attempt + 1, now);
+        set_placed(job, i, *inventory_.at(plan.host(at).slot), job.tasks[i].attempt + 1, now);
         touch(job, i, Write::at_once, now);
         any = true;
     };
@@ -172,7 +173,7 @@
     if (leaves_ordinary(job, now)) {
         auto spot = ask;
         for (std::size_t i = 0; i < spot.pools.size(); ++i)
-            spot.pools[i] = spot.pools[i] && ledger_.directory().pools()[i].spot;
+            spot.pools[i] = spot.pools[i] && inventory_.directory().pools()[i].spot;
         for (const auto at : plan.place_many(spot, hosts, most)) put(at);
         return;
     }
@@ -182,15 +183,15 @@
 // An array that may use spot machines leaves the others, for half of its time, to gangs that may not and found no room:
 // those would be rented room at several times the price, while arrays hold the machines that suit them.
 bool Scheduler::leaves_ordinary(const Job& job, TimePoint now) const {
-    return gangs_wait_ && job.spec.spot && job.is(Shape::array) && job.rank <= Rank::normal &&
-           now - job.arrived < wire::to_clock(target_of(job.spec) * 0.5);
+    return gangs_wait_ && job.spec.spot && job.is(JobKind::array) && job.priority <= Priority::normal &&
+           now - job.arrived < model::to_clock(target_of(job.spec) * 0.5);
 }
 
 placement::Ask Scheduler::at_least(const Job& job, unsigned slots) const {
     auto ask = ask_of(job);
-    const auto& pools = ledger_.directory().pools();
+    const auto& pools = inventory_.directory().pools();
     for (std::size_t i = 0; i < ask.pools.size(); ++i)
-        if (const auto* type = ledger_.type(pools[i].type);
+        if (const auto* type = inventory_.type(pools[i].type);
             !type || placement::slots(job.spec.need, type->capacity) < slots)
             ask.pools[i] = false;
     return ask;
@@ -203,7 +204,7 @@
     if (!inherited_ || now >= after(since_, settings_.report * 1.25 + 500ms)) return true;
     // Workers hurry to a higher term. Some are gone for good, and the rest need not wait for those.
     double working = 0, heard = 0;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         working += !m->tasks.empty();
         heard += !m->tasks.empty() && m->reported;
     }
@@ -217,13 +218,14 @@
     std::vector<std::pair<Seconds, TaskKey>> stoppable;
     for (const auto& key : m.tasks) {
         const auto* other = this->job(key.first);
-        if (!other || !other->is(Shape::array) || !gives_way(*other, job)) continue;
+        if (!other || !other->is(JobKind::array) || !gives_way(*other, job)) continue;
         const auto& t = other->tasks[key.second];
         if (t.draining || std::find(spared.begin(), spared.end(), key) != spared.end()) continue;
         const Seconds ran = t.started ? Seconds(now - t.running_since) : Seconds(0);
         // What is about to end makes room by itself, sooner than an order reaches it.
-        if (t.started && other->spec.estimate - ran < settings_.report) continue;
-        stoppable.emplace_back(other->spec.checkpoint.count() > 0 ? std::min(other->spec.save, ran) : ran, key);
+        if (t.started && other->spec.estimated_runtime - ran < settings_.report) continue;
+        stoppable.emplace_back(
+            other->spec.checkpoint_interval.count() > 0 ? std::min(other->spec.checkpoint_duration, ran) : ran, key);
     }
     std::sort(stoppable.begin(), stoppable.end());
     std::vector<TaskKey> out;
@@ -240,8 +242,8 @@
 }
 
 // Whether tasks of arrays of a lower rank than that are placed anywhere.
-bool Scheduler::lower_arrays(Rank rank) const {
-    for (std::size_t r = 0; r < static_cast<std::size_t>(rank); ++r)
+bool Scheduler::lower_arrays(Priority priority) const {
+    for (std::size_t r = 0; r < static_cast<std::size_t>(priority); ++r)
         if (array_tasks_[r] > 0) return true;
     return false;
 }
@@ -253,13 +255,13 @@
         if (guaranteed(other)) return false;
         if (guaranteed(job)) return true;
     }
-    return other.rank < job.rank;
+    return other.priority < job.priority;
 }
 
 // What is being stopped already, by team.
 std::map<std::string, quota::Amount> Scheduler::stopping() const {
     std::map<std::string, quota::Amount> out;
-    for (const auto& [name, m] : ledger_.all())
+    for (const auto& [name, m] : inventory_.all())
         for (const auto& [uid, i] : m->tasks)
             if (const auto* j = job(uid); j && (j->tasks[i].draining || j->cancelled)) {
                 auto& amount = out[j->spec.team];
@@ -274,7 +276,7 @@
     if (guaranteed(job)) on_the_way = stopping();
     for (const auto& [uid, i] : tasks) {
         const auto& other = *find(uid);
-        if (other.spec.team != job.spec.team && other.rank >= job.rank) {
+        if (other.spec.team != job.spec.team && other.priority >= job.priority) {
             auto& amount = on_the_way[other.spec.team];
             if (!teams_.may_stop(other.spec.team, amount, other.spec.need)) continue;
             amount.cpus += other.spec.need.cpus;
@@ -290,8 +292,8 @@
 // that waits would fit; of a gang all or nothing. What is stopped can never do the same in turn, so this cannot go on
 // in circles. Without it a guest's idle tasks, on for minutes, keep gangs from machines whose accelerators lie idle.
 void Scheduler::preempt(Job& job, const Planner& plan, TimePoint now) {
-    if (now < job.preempt_again || job.doubtful() || !(lower_arrays(job.rank) || guaranteed(job))) return;
-    const bool together = job.is(Shape::gang);
+    if (now < job.preempt_again || job.doubtful() || !(lower_arrays(job.priority) || guaranteed(job))) return;
+    const bool together = job.is(JobKind::gang);
     if (together && (job.gang_failing || job.gang_started)) return;
     auto wanted = std::min(job.waiting(), max_planned_tasks);
     const auto limit = within_limit(job, wanted);
@@ -307,7 +309,7 @@
         bool operator<(const Room& o) const { return loss != o.loss ? loss < o.loss : tasks < o.tasks; }
     };
     std::vector<Room> rooms;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         if (m->tasks.empty() || !usable(*m, now) || !m->current || !ask.takes(m->row.pool)) continue;
         // One task of the job more on that machine with every turn, for as long as that costs anything.
         auto host = m->row;
@@ -350,12 +352,12 @@
 // room now the image may take minutes; to stop a task of an array that saves costs seconds.
 std::uint32_t Scheduler::room_with_image(Job& job, const Planner& plan, const JobHosts& hosts, std::uint32_t tasks,
                                          TimePoint now) {
-    if (job.rank != Rank::critical || !job.is(Shape::service) || tasks == 0) return 0;
+    if (job.priority != Priority::critical || !job.is(JobKind::service) || tasks == 0) return 0;
     const auto& ask = ask_of(job);
     const auto at = plan.peek(ask, hosts);
     if (at == Planner::none) return 0;
     const auto wait = plan.host(at).image_wait(ask.image, job.spec.image_gb);
-    const Seconds until_free = settings_.report * 1.25 + wire::Seconds(3);
+    const Seconds until_free = settings_.report * 1.25 + model::Seconds(3);
     if (wait < until_free * 3) return 0;
     // Room that was made and is not enough is not made again at once; replicas lost later have their own turn.
     if (job.room_made_by != TimePoint{} && now < job.room_made_by + room_again) return 0;
@@ -364,7 +366,7 @@
         std::vector<TaskKey> tasks;
     };
     std::vector<Room> rooms;
-    for (const auto& [name, m] : ledger_.all()) {
+    for (const auto& [name, m] : inventory_.all()) {
         if (!m->row.has(ask.image) || !usable(*m, now) || !m->current || !ask.takes(m->row.pool)) continue;
         Room room;
         auto host = m->row;
@@ -396,10 +398,10 @@
     auto waiting = queue(now, true);
     if (unsettled_) waiting = certain(std::move(waiting));
     gangs_wait_ = std::any_of(waiting.begin(), waiting.end(), [](const Job* job) {
-        return job->is(Shape::gang) && !job->spec.spot && job->passed_over && job->placed == 0 && !job->doubtful();
+        return job->is(JobKind::gang) && !job->spec.spot && job->passed_over && job->placed == 0 && !job->doubtful();
     });
     for (auto* job : waiting) {
-        if (job->is(Shape::gang))
+        if (job->is(JobKind::gang))
             place_gang(*job, plan, now, any);
         else
             place_each(*job, plan, now, any);
--- a/src/scheduler/scheduler_records.cpp
+++ b/src/scheduler/scheduler_records.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 
 #include "election/elector.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace flintdale::scheduler {
@@ -18,12 +20,12 @@
 }  // namespace
 
 struct Scheduler::Found {
-    std::vector<std::pair<WorkKey, const state::Item*>> records;
+    std::vector<std::pair<WorkKey, const state::KeyValue*>> records;
 };
 
 // --- what is on record ---
 
-void Scheduler::load(const std::vector<state::Item>& work, TimePoint now, std::int64_t at) {
+void Scheduler::load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t at) {
     std::map<std::string, Found> found;
     for (const auto& item : work)
         if (auto key = parse_work_key(item.key)) found[key->uid].records.emplace_back(std::move(*key), &item);
@@ -50,7 +52,7 @@
             if (key.piece)
                 assembled(key, *item, now, true);
             else
-                leftovers_.emplace_back(item->key, item->stamp);
+                leftovers_.emplace_back(item->key, item->mod_revision);
         return;
     }
     for (const auto& [key, item] : records) assembled(key, *item, now, true);
@@ -58,16 +60,16 @@
     if (!job) return;
     // Its wait did not begin with this leader: age, deadline and what is due after half of an aim's time go by it. One
     // that waited for others counts from when they were done, and is not older than this leader knows.
-    if (const auto accepted = job->spec.accepted_ms; at > accepted && accepted > 0 && job->spec.prerequisites.empty())
+    if (const auto accepted = job->spec.accepted_ms; at > accepted && accepted > 0 && job->spec.dependencies.empty())
         job->arrived = now - std::min(std::chrono::milliseconds(at - accepted), longest_wait);
     // Of two records with the same task the one with fewer tasks holds; it was written later.
     std::sort(records.begin(), records.end(), [](const auto& a, const auto& b) { return a.first.page > b.first.page; });
-    std::vector<wire::TaskRange> last(job->spec.tasks);
+    std::vector<model::TaskRange> last(job->spec.tasks);
     for (const auto& [key, item] : records) {
         if (key.piece || key.page > job->page) continue;  // the beginning of a cut submission has no tasks
         if (key.page < job->page) job->use_pages(key.page);
         if (key.chunk >= job->chunks.size()) continue;
-        job->chunks[key.chunk].stamp = item->stamp;
+        job->chunks[key.chunk].mod_revision = item->mod_revision;
         for (const auto& r : wire::ranges_from_record(item->value.as_object().at("tasks").as_array()))
             for (auto i = r.from; i <= r.to && i < job->spec.tasks; ++i) last[i] = r;
     }
@@ -81,7 +83,7 @@
             t.state = Task::State::done;
             ++job->done;
         } else if (!r.machine.empty()) {
-            auto& m = ledger_.add(r.machine, "", "", false, now);
+            auto& m = inventory_.add(r.machine, "", "", false, now);
             set_placed(*job, i, m, r.attempt, now);
             inherited_ = true;
             t.sent = true;  // by the leader that wrote the record, for all this one knows
@@ -93,10 +95,10 @@
         if (job->tasks[i].state == Task::State::waiting) job->again.push_back(i);
     if (job->done == job->spec.tasks) mark_dirty(uid);
     // Whoever placed some of it had read that all it needs is done.
-    need(*job, job->fresh ? std::vector<std::string>{} : job->spec.prerequisites, now);
+    need(*job, job->fresh ? std::vector<std::string>{} : job->spec.dependencies, now);
 }
 
-bool Scheduler::older_than(const state::Item& item, const std::function<bool(const std::string&)>& over) const {
+bool Scheduler::older_than(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const {
     const auto key = parse_work_key(item.key);
     const auto* tasks = key && item.value.is_object() ? item.value.get_object().if_contains("tasks") : nullptr;
     // Our own writes are seen here as well, those of jobs that are over and forgotten included.
@@ -115,21 +117,21 @@
 }
 
 // The new job that this record completes, if it does.
-Job* Scheduler::assembled(const WorkKey& key, const state::Item& item, TimePoint now, bool recovering) {
+Job* Scheduler::assembled(const WorkKey& key, const state::KeyValue& item, TimePoint now, bool recovering) {
     const auto& o = item.value.as_object();
     if (find(key.uid) || (!key.first() && !key.piece)) return nullptr;
     Cut cut;
     if (key.piece || o.if_contains("cut")) {
-        using Fate = Prerequisites::Fate;
-        const auto fate = prerequisites_.fate(key.uid);
+        using Fate = DependencyGraph::Fate;
+        const auto fate = dependency_graph_.fate(key.uid);
         if (fate == Fate::done || fate == Fate::cancelled) return nullptr;
         if (cut_.size() >= max_cut) cut_.clear();
         auto& known = cut_[key.uid];
         if (!key.piece)
             known.first = item;
         else if (known.pieces.emplace(key.piece, std::string(o.at("text").as_string())).second)
-            known.records.push_back({item.key, item.stamp});
-        if (!known.first.stamp) return nullptr;
+            known.records.push_back({item.key, item.mod_revision});
+        if (!known.first.mod_revision) return nullptr;
         cut = known;
     } else {
         cut.first = item;
@@ -141,7 +143,7 @@
     auto spec = spec_from_records(first, cut.pieces);
     if (!spec) return nullptr;
     auto& job = create(std::move(*spec), now, recovering);
-    job.chunks[0].stamp = cut.first.stamp;
+    job.chunks[0].mod_revision = cut.first.mod_revision;
     job.overruled = std::move(cut.records);
     // The first record holds no submission that could be written again beside its tasks.
     if (first.if_contains("cut")) job.use_pages(job.page / 2);
@@ -150,13 +152,13 @@
     return &job;
 }
 
-bool Scheduler::job_changed(const state::Item& item, TimePoint now, std::int64_t wall) {
-    if (!item.stamp || !item.value.is_object()) return false;
+bool Scheduler::job_changed(const state::KeyValue& item, TimePoint now, std::int64_t wall) {
+    if (!item.mod_revision || !item.value.is_object()) return false;
     try {
         if (item.key.starts_with(work_prefix)) {
             const auto key = parse_work_key(item.key);
             auto* job = key ? assembled(*key, item, now, false) : nullptr;
-            if (job) need(*job, job->spec.prerequisites, now);
+            if (job) need(*job, job->spec.dependencies, now);
             return job != nullptr;
         }
         const auto& o = item.value.get_object();
@@ -164,10 +166,10 @@
         const auto uid = item.key.substr(item.key.rfind('/') + 1);
         const auto* at = o.if_contains("at");
         bool news = take_in(
-            prerequisites_.over(uid, state == wire::JobState::done, at ? at->to_number<std::int64_t>() : 0), now);
+            dependency_graph_.over(uid, state == model::JobState::done, at ? at->to_number<std::int64_t>() : 0), now);
         auto* job = find(uid);
         if (!job || job->finished) return news;
-        if (state == wire::JobState::cancelled) {
+        if (state == model::JobState::cancelled) {
             news = news || !job->cancelled;
             // A watch that stood open through a refusal or an outage tells of it late, and cancel_s has run since.
             const auto since = at ? std::chrono::milliseconds(wall - at->to_number<std::int64_t>()) : 0ms;
@@ -194,23 +196,23 @@
 
 void Scheduler::ended(const std::string& uid, TimePoint now, Seconds ago) {
     if (auto* job = find(uid); job && !job->finished) {
-        prerequisites_.over_somehow(uid);
-        cancel(*job, now - wire::to_clock(ago));
+        dependency_graph_.over_somehow(uid);
+        cancel(*job, now - model::to_clock(ago));
     }
 }
 
 // --- prerequisites ---
 
-void Scheduler::need(Job& job, const std::vector<std::string>& prerequisites, TimePoint now) {
+void Scheduler::need(Job& job, const std::vector<std::string>& dependencies, TimePoint now) {
     const auto& uid = job.spec.uid;
-    const auto news = prerequisites_.opened(uid, job.spec.rank, prerequisites);
-    job.rank = prerequisites_.rank(uid);
-    job.waits = prerequisites_.waits(uid);
-    if (!job.waits && !prerequisites.empty()) take_in({{uid}, {}, {}}, now);
+    const auto news = dependency_graph_.opened(uid, job.spec.priority, dependencies);
+    job.priority = dependency_graph_.priority(uid);
+    job.waits = dependency_graph_.waits(uid);
+    if (!job.waits && !dependencies.empty()) take_in({{uid}, {}, {}}, now);
     take_in(news, now);
 }
 
-bool Scheduler::take_in(const Prerequisites::News& news, TimePoint now) {
+bool Scheduler::take_in(const DependencyGraph::News& news, TimePoint now) {
     for (const auto& uid : news.ready) {
         auto* job = find(uid);
         if (!job) continue;
@@ -218,7 +220,7 @@
         // least as long as any window gathers, and must not wait for another.
         job->waits = false;
         job->arrived = job->eligible_at = now;
-        if (const auto at = prerequisites_.ready_at(uid)) job->window = window_at(at);
+        if (const auto at = dependency_graph_.ready_at(uid)) job->window = window_at(at);
         spdlog::debug("event=job_ready job={} class={}", uid, job->spec.job_class);
     }
     // Before all other records: its users may be told by then.
@@ -228,16 +230,16 @@
             job->doomed = true;
             mark_urgent(uid);
         }
-    for (const auto& uid : news.reranked)
-        if (auto* job = find(uid)) job->rank = prerequisites_.rank(uid);
+    for (const auto& uid : news.priority_changed)
+        if (auto* job = find(uid)) job->priority = dependency_graph_.priority(uid);
     return !news.ready.empty() || !news.doomed.empty();
 }
 
 std::vector<std::string> Scheduler::missing() const {
     std::vector<std::string> out;
-    for (const auto& uid : prerequisites_.unknown()) out.push_back(outcome_key(uid));
+    for (const auto& uid : dependency_graph_.unknown()) out.push_back(outcome_key(uid));
     for (const auto& [uid, cut] : cut_)
-        if (!cut.first.stamp) {
+        if (!cut.first.mod_revision) {
             out.push_back(work_key(uid, 0));
         } else {
             const auto pieces = cut.first.value.as_object().at("cut").to_number<std::uint32_t>();
@@ -249,9 +251,9 @@
 
 // --- what has to be put there ---
 
-boost::json::object Scheduler::outcome(const Job& job, wire::JobState state, std::int64_t at) const {
+boost::json::object Scheduler::outcome(const Job& job, model::JobState state, std::int64_t at) const {
     const auto spec = wire::spec_to_record(job.spec);
-    return outcome_record(form_, state, at, &spec, {job.spec.shape, job.spec.tasks});
+    return outcome_record(record_format_, state, at, &spec, {job.spec.kind, job.spec.tasks});
 }
 
 std::vector<std::pair<std::uint32_t, boost::json::object>> Scheduler::changed_records(Job& job) {
@@ -259,7 +261,7 @@
     for (std::uint32_t c = 0; c < job.chunks.size(); ++c) {
         if (job.chunks[c].durable >= job.chunks[c].changed) continue;
         auto record = work_record(job, c);
-        if (form_.newest() && job.page > 1 && !form_.fits(record)) {
+        if (record_format_.newest() && job.page > 1 && !record_format_.fits(record)) {
             job.use_pages(job.page / 2);
             spdlog::debug("event=smaller_records job={} tasks={}", job.spec.uid, job.page);
             return changed_records(job);
@@ -271,12 +273,12 @@
 
 Batch Scheduler::next_batch(std::size_t most, std::int64_t at) {
     Batch batch;
-    most = std::clamp<std::size_t>(most, 2, form_.limits().txn_ops);
+    most = std::clamp<std::size_t>(most, 2, record_format_.limits().txn_ops);
     if (singles_ > 0) {
         --singles_;
         most = 1;
     }
-    batch.txn.conditions.push_back({election::term_key, term_stamp_});
+    batch.txn.conditions.push_back({election::term_key, term_revision_});
     std::size_t bytes = 0;
     std::size_t looked = 0;
     const auto count = dirty_.size();
@@ -293,14 +295,14 @@
             forget(uid);
         } else if (job->doomed && !job->cancelled) {
             batch.txn.conditions.push_back({outcome_key(uid), 0});
-            batch.txn.changes.push_back({outcome_key(uid), outcome(*job, wire::JobState::cancelled, at), 0});
+            batch.txn.changes.push_back({outcome_key(uid), outcome(*job, model::JobState::cancelled, at), 0});
             batch.parts.push_back({uid, 0, job->generation, Batch::Part::Kind::abort, at});
             batch.keys.push_back(outcome_key(uid));
             bytes += 1024;
         } else if (complete) {
             // Whoever comes first decides between done and cancelled: both are conditioned on there being no outcome.
             batch.txn.conditions.push_back({outcome_key(uid), 0});
-            batch.txn.changes.push_back({outcome_key(uid), outcome(*job, wire::JobState::done, at), 0});
+            batch.txn.changes.push_back({outcome_key(uid), outcome(*job, model::JobState::done, at), 0});
             batch.parts.push_back({uid, 0, job->generation, Batch::Part::Kind::finish, at});
             batch.keys.push_back(outcome_key(uid));
             bytes += 1024;
@@ -318,7 +320,7 @@
                     batch.keys.push_back(outcome_key(uid));
                 }
                 const auto key = work_key(uid, c, job->page);
-                batch.txn.conditions.push_back({key, chunk.stamp});
+                batch.txn.conditions.push_back({key, chunk.mod_revision});
                 batch.txn.changes.push_back({key, std::move(record), 0});
                 batch.parts.push_back({uid, c, chunk.changed, Batch::Part::Kind::write, 0});
                 batch.keys.insert(batch.keys.end() - 1, key);
@@ -337,25 +339,25 @@
     job.use_pages(job.page);
     std::stable_partition(job.overruled.begin(), job.overruled.end(),
                           [&](const OldRecord& r) { return r.key == work_key(uid, 0); });
-    for (const auto& r : job.overruled) leftovers_.emplace_back(r.key, r.stamp);
+    for (const auto& r : job.overruled) leftovers_.emplace_back(r.key, r.mod_revision);
     jobs_.erase(uid);
 }
 
 state::Txn Scheduler::leftovers(std::size_t most) {
     state::Txn txn;
-    most = std::min(most, form_.limits().txn_ops);
+    most = std::min(most, record_format_.limits().txn_ops);
     for (; !leftovers_.empty() && txn.changes.size() < most; leftovers_.pop_back()) {
-        const auto& [key, stamp] = leftovers_.back();
-        txn.conditions.push_back({key, stamp});
+        const auto& [key, mod_revision] = leftovers_.back();
+        txn.conditions.push_back({key, mod_revision});
         txn.changes.push_back({key, std::nullopt, 0});
     }
-    if (!txn.changes.empty()) txn.conditions.push_back({election::term_key, term_stamp_});
+    if (!txn.changes.empty()) txn.conditions.push_back({election::term_key, term_revision_});
     return txn;
 }
 
 void Scheduler::keep_leftovers(const state::Txn& txn) {
     for (std::size_t i = 0; i < txn.changes.size(); ++i)
-        leftovers_.emplace_back(txn.conditions[i].key, txn.conditions[i].stamp);
+        leftovers_.emplace_back(txn.conditions[i].key, txn.conditions[i].mod_revision);
 }
 
 bool Scheduler::committed(const Batch& batch, std::uint64_t revision, TimePoint now) {
@@ -365,7 +367,7 @@
         if (!job) continue;
         switch (p.kind) {
             case Batch::Part::Kind::write:
-                job->chunks[p.chunk].stamp = revision;
+                job->chunks[p.chunk].mod_revision = revision;
                 job->chunks[p.chunk].durable = std::max(job->chunks[p.chunk].durable, p.generation);
                 break;
             case Batch::Part::Kind::finish:
@@ -373,11 +375,11 @@
                              Seconds(now - job->arrived).count());
                 job->finished = true;
                 teams_.over(job->spec);
-                ready = take_in(prerequisites_.over(p.uid, true, p.at), now) || ready;
+                ready = take_in(dependency_graph_.over(p.uid, true, p.at), now) || ready;
                 break;
             case Batch::Part::Kind::abort:
                 cancel(*job, now);
-                take_in(prerequisites_.over(p.uid, false, p.at), now);
+                take_in(dependency_graph_.over(p.uid, false, p.at), now);
                 break;
         }
         if (job->finished || job->cancelled) mark_dirty(p.uid);
@@ -396,7 +398,7 @@
     for (const auto& p : batch.parts) {
         auto* job = find(p.uid);
         if (!job) continue;
-        if (p.kind == Batch::Part::Kind::write && job->page > 1 && form_.newest()) {
+        if (p.kind == Batch::Part::Kind::write && job->page > 1 && record_format_.newest()) {
             job->use_pages(job->page / 2);
             mark_dirty(p.uid);
             continue;
@@ -406,11 +408,11 @@
     }
 }
 
-void Scheduler::reread(const state::Item& item, TimePoint now) {
+void Scheduler::reread(const state::KeyValue& item, TimePoint now) {
     if (const auto key = parse_work_key(item.key)) {
         auto* job = find(key->uid);
         if (job && !key->piece && key->page == job->page && key->chunk < job->chunks.size())
-            job->chunks[key->chunk].stamp = item.stamp;
+            job->chunks[key->chunk].mod_revision = item.mod_revision;
         return;
     }
     job_changed(item, now);
--- a/src/emulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -1,8 +1,10 @@
-#include "emulator/checker.hpp"
+#include "simulator/checker.hpp"
 
 #include <algorithm>
 
-namespace flintdale::emulator {
+#include "model/job.hpp"
+
+namespace flintdale::simulator {
 
 void Checker::breaks(const std::string& rule, const std::string& what) {
     if (++broken_[rule] == 1) first_[rule] = std::to_string(events_.since_start().count()) + " s: " + what;
@@ -31,7 +33,7 @@
         return;
     }
     const auto& spec = job.spec;
-    if (job.final_word == "aborted" && events_.now() > job.told_at + wire::to_clock(settings_.cancel))
+    if (job.final_word == "aborted" && events_.now() > job.told_at + model::to_clock(settings_.cancel))
         breaks("ran_cancelled", name);
     late_starts_ += job.final_word == "aborted" && events_.now() > job.told_at + std::chrono::seconds(1);
     const bool type = !spec.types || std::count(spec.types->begin(), spec.types->end(), place.type) > 0;
@@ -91,7 +93,7 @@
     if (forgotten_.insert(uid).second) breaks("forgotten", uid + " is not answered for");
 }
 
-bool Checker::within_limit(const wire::JobSpec& spec, std::size_t tasks) const {
+bool Checker::within_limit(const model::JobSpec& spec, std::size_t tasks) const {
     const auto* team = settings_.team(spec.team);
     if (!team) return true;
     const auto it = use_.find(spec.team);
@@ -104,8 +106,8 @@
 void Checker::look() {
     for (const auto& [uid, job] : jobs_)
         if (job.final_word == "aborted" && !job.on.empty() &&
-            events_.now() > job.told_at + wire::to_clock(settings_.cancel))
+            events_.now() > job.told_at + model::to_clock(settings_.cancel))
             breaks("ran_cancelled", uid + " is still on " + job.on.begin()->second.machine);
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/checker.hpp
+++ b/src/simulator/checker.hpp
@@ -4,10 +4,11 @@
 #include <set>
 
 #include "config/settings.hpp"
-#include "emulator/events.hpp"
+#include "model/job.hpp"
 #include "placement/planner.hpp"
+#include "simulator/events.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 using TaskName = std::pair<std::string, std::uint32_t>;
 
@@ -32,7 +33,7 @@
     Checker(Events& events, const config::Settings& settings) : events_(events), settings_(settings) {}
 
     // --- the truth ---
-    void submitted(const wire::JobSpec& spec) { jobs_[spec.uid].spec = spec; }
+    void submitted(const model::JobSpec& spec) { jobs_[spec.uid].spec = spec; }
     void arrives(const TaskName& task, const Place& place) override;
     void leaves(const TaskName& task, const std::string& machine) override;
     void completed(const TaskName& task) override { jobs_[task.first].done.insert(task.second); }
@@ -52,7 +53,7 @@
         return it == jobs_.end() ? 0 : it->second.done.size();
     }
     // Whether so many more tasks of the job's kind would keep its team within its limit.
-    bool within_limit(const wire::JobSpec& spec, std::size_t tasks) const;
+    bool within_limit(const model::JobSpec& spec, std::size_t tasks) const;
     void left_waiting(const std::string& uid) { breaks("left_waiting", uid); }
     void unanswered(const std::string& uid);  // no question about it for long after all troubles
     // Whether its user has been told that it is over.
@@ -77,7 +78,7 @@
 
   private:
     struct Job {
-        wire::JobSpec spec;
+        model::JobSpec spec;
         bool accepted = false, cancel_asked = false;
         std::string final_word;  // done or aborted, once told
         TimePoint told_at{};
@@ -97,4 +98,4 @@
     Seconds longest_gone_{0};
 };
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/events.hpp
+++ b/src/simulator/events.hpp
@@ -6,21 +6,21 @@
 #include <functional>
 #include <queue>
 
-#include "wire/types.hpp"
+#include "model/clock.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
-using wire::Seconds;
-using wire::TimePoint;
+using model::Seconds;
+using model::TimePoint;
 
 class Events {
   public:
     // A virtual time, in place of the process's clock.
-    explicit Events(std::uint64_t seed) : virtual_(true), luck_(seed) { wire::Clock::emulated = &now_; }
+    explicit Events(std::uint64_t seed) : virtual_(true), luck_(seed) { model::Clock::simulated = &now_; }
     // A time that moves by advance_to() only. The process's clock is left alone.
     Events(std::uint64_t seed, TimePoint start) : start_(start), now_(start), luck_(seed) {}
     ~Events() {
-        if (virtual_) wire::Clock::emulated = nullptr;
+        if (virtual_) model::Clock::simulated = nullptr;
     }
     Events(const Events&) = delete;
     Events& operator=(const Events&) = delete;
@@ -28,10 +28,10 @@
     TimePoint now() const { return now_; }
     Seconds since_start() const { return now_ - start_; }
     void after(Seconds delay, std::function<void()> what) {
-        queue_.push({now_ + wire::to_clock(delay), number_++, std::move(what)});
+        queue_.push({now_ + model::to_clock(delay), number_++, std::move(what)});
     }
     // Moves on, and lets happen what is due.
-    void advance(wire::Clock::duration step) { advance_to(now_ + step); }
+    void advance(model::Clock::duration step) { advance_to(now_ + step); }
     // The same, up to that time; time does not go back.
     void advance_to(TimePoint until) {
         now_ = std::max(now_, until);
@@ -63,4 +63,4 @@
     boost::random::mt19937_64 luck_;
 };
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/fleet.cpp
+++ b/src/simulator/fleet.cpp
@@ -1,14 +1,18 @@
-#include "emulator/fleet.hpp"
+#include "simulator/fleet.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace flintdale::emulator {
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
 
-using wire::Cause;
-using wire::Shape;
-using wire::TaskStatus;
+namespace flintdale::simulator {
+
+using model::ExitReason;
+using model::JobKind;
+using model::TaskStatus;
 namespace json = boost::json;
 
 namespace {
@@ -23,7 +27,7 @@
     return names[static_cast<std::size_t>(s)];
 }
 
-const char* name_of(Cause c) {
+const char* name_of(ExitReason c) {
     constexpr const char* names[] = {"error", "done", "halted", "peers",  "incomplete",
                                      "error", "full", "in_use", "no_such"};
     return names[static_cast<std::size_t>(c)];
@@ -84,7 +88,7 @@
     }
 }
 
-std::vector<wire::ListedMachine> Fleet::list() const { return rentals_.list(); }
+std::vector<model::ListedMachine> Fleet::list() const { return rentals_.list(); }
 
 // The machine, if a question reaches its worker now.
 Fleet::HostPtr Fleet::reached(const std::string& machine) const {
@@ -108,13 +112,13 @@
     net::Reply reply;
     try {
         const auto o = wire::parse_object(body);
-        const auto token = o.at("baton").to_number<std::uint64_t>();
-        const auto tenure = o.at("tenure").to_number<std::uint64_t>();
-        if (token < host->token || tenure != host->tenure) {
+        const auto fencing_token = o.at("baton").to_number<std::uint64_t>();
+        const auto incarnation = o.at("tenure").to_number<std::uint64_t>();
+        if (fencing_token < host->fencing_token || incarnation != host->incarnation) {
             reply.status = 409;
         } else {
-            host->changed = host->changed || token > host->token;
-            host->token = token;
+            host->changed = host->changed || fencing_token > host->fencing_token;
+            host->fencing_token = fencing_token;
             obey(host, o.at("orders").as_array());
         }
     } catch (const std::exception& e) {
@@ -165,7 +169,7 @@
         json::object o{{"shard", name.first + "/" + std::to_string(name.second)},
                        {"try", t.attempt},
                        {"status", name_of(t.status)}};
-        if (t.status == TaskStatus::exited) o["cause"] = name_of(t.cause);
+        if (t.status == TaskStatus::exited) o["cause"] = name_of(t.exit_reason);
         tasks.push_back(std::move(o));
     }
     return json::serialize(json::object{{"host", h.name},
@@ -173,9 +177,9 @@
                                         {"hosttype", h.type->name},
                                         {"hall", h.zone},
                                         {"loaners", h.spot},
-                                        {"tenure", h.tenure},
-                                        {"tick", ++h.tick},
-                                        {"baton", h.token},
+                                        {"tenure", h.incarnation},
+                                        {"tick", ++h.sequence},
+                                        {"baton", h.fencing_token},
                                         {"warning_s", nullptr},
                                         {"shards", std::move(tasks)}});
 }
@@ -188,13 +192,13 @@
     h.changed = false;
     h.last_sent = events_.now();
     const auto sent = h.last_sent;
-    const auto tenure = h.tenure;
+    const auto incarnation = h.incarnation;
     net::Request request;
     request.verb = net::http::verb::post;
     request.target = "/agent/beat";
     request.body = body_of(h);
     if (events_.now() < h.cut_until || events_.now() < h.mute_until) {
-        events_.after(patience, [this, host, tenure, sent] { answered(host, tenure, sent, 0, ""); });
+        events_.after(patience, [this, host, incarnation, sent] { answered(host, incarnation, sent, 0, ""); });
         return;
     }
     if (late_reports > 0 && events_.chance(late_reports))
@@ -203,17 +207,17 @@
                           ask_(node, from, request, patience, [](unsigned, const std::string&) {});
                       });
     ask_(h.node, {h.name, h.zone}, std::move(request), patience,
-         [this, host, tenure, sent](unsigned status, const std::string& body) {
-             answered(host, tenure, sent, status, body);
+         [this, host, incarnation, sent](unsigned status, const std::string& body) {
+             answered(host, incarnation, sent, status, body);
          });
 }
 
-void Fleet::answered(const HostPtr& host, std::uint64_t tenure, TimePoint sent, unsigned status,
+void Fleet::answered(const HostPtr& host, std::uint64_t incarnation, TimePoint sent, unsigned status,
                      const std::string& body) {
     auto& h = *host;
     if (events_.now() < h.deaf_until && status != 0) {
         events_.after(std::max(Seconds(0), patience - Seconds(events_.now() - sent)),
-                      [this, host, tenure, sent] { answered(host, tenure, sent, 0, ""); });
+                      [this, host, incarnation, sent] { answered(host, incarnation, sent, 0, ""); });
         return;
     }
     h.in_flight = false;
@@ -236,15 +240,15 @@
     }
     if (status != 200) return next_node();
     const auto o = wire::parse_object(body);
-    const auto token = o.at("baton").to_number<std::uint64_t>();
-    if (token >= h.token && tenure == h.tenure) {
-        if (token > h.token) h.changed = true;
-        h.token = token;
+    const auto fencing_token = o.at("baton").to_number<std::uint64_t>();
+    if (fencing_token >= h.fencing_token && incarnation == h.incarnation) {
+        if (fencing_token > h.fencing_token) h.changed = true;
+        h.fencing_token = fencing_token;
         h.lease_from = std::max(h.lease_from, sent);
         last_answer[h.node] = events_.now();
-        const auto& orders = o.at("orders").as_array();
-        if (answer_accepted) answer_accepted(token, std::any_of(orders.begin(), orders.end(), is_run));
-        obey(host, orders);
+        const auto& commands = o.at("orders").as_array();
+        if (answer_accepted) answer_accepted(fencing_token, std::any_of(commands.begin(), commands.end(), is_run));
+        obey(host, commands);
     }
     if (h.changed)
         changed(host);
@@ -252,8 +256,8 @@
         schedule_report(host, settings_.report * events_.uniform(0.75, 1.25));
 }
 
-void Fleet::obey(const HostPtr& host, const json::array& orders) {
-    for (const auto& v : orders) {
+void Fleet::obey(const HostPtr& host, const json::array& commands) {
+    for (const auto& v : commands) {
         const auto& o = v.as_object();
         const std::string shard(o.at("shard").as_string());
         const auto slash = shard.rfind('/');
@@ -266,7 +270,7 @@
             run(host, name, attempt);
         } else if (it != host->tasks.end() && it->second.attempt == attempt) {
             const bool ended = it->second.status == TaskStatus::exited;
-            if (verb == "kill" && !ended) ends(host, name, Cause::stopped);
+            if (verb == "kill" && !ended) ends(host, name, ExitReason::stopped);
             if (verb == "clear" && ended) host->tasks.erase(it);
         }
     }
@@ -281,18 +285,18 @@
     const auto serial = ++serials_;
     h.changed = true;
     const auto job = jobs_.find(name.first);
-    auto cause = Cause::none;
+    auto exit_reason = ExitReason::none;
     auto free = h.type->capacity;
     placement::take(free, h.used);
     if (job == jobs_.end() || name.second >= job->second.spec.tasks)
-        cause = Cause::unknown;
+        exit_reason = ExitReason::unknown_task;
     else if (held != h.tasks.end() && held->second.status != TaskStatus::exited)
         return;  // refused as in use; the report shows the other attempt
     else if (!placement::fits(job->second.spec.need, free))
-        cause = Cause::no_room;
+        exit_reason = ExitReason::insufficient_resources;
     auto& task = h.tasks[name];
-    task = {attempt, cause == Cause::none ? TaskStatus::fetching : TaskStatus::exited, cause, serial};
-    if (cause != Cause::none) return;
+    task = {attempt, exit_reason == ExitReason::none ? TaskStatus::fetching : TaskStatus::exited, exit_reason, serial};
+    if (exit_reason != ExitReason::none) return;
     const auto& spec = job->second.spec;
     placement::give(h.used, spec.need);
     const bool cached = h.images.contains(spec.image);
@@ -328,9 +332,9 @@
     last_start = events_.now();
     if (job.done.contains(name.second)) {
         it->second.status = TaskStatus::running;
-        return ends(host, name, Cause::done);
+        return ends(host, name, ExitReason::done);
     }
-    if (job.spec.shape != Shape::gang) {
+    if (job.spec.kind != JobKind::gang) {
         starts(host, name);
         return;
     }
@@ -350,7 +354,7 @@
         const auto t = host->tasks.find(name);
         if (!host->dead && t != host->tasks.end() && t->second.serial == serial &&
             t->second.status == TaskStatus::waiting)
-            ends(host, name, Cause::alone);
+            ends(host, name, ExitReason::gang_incomplete);
     });
 }
 
@@ -362,7 +366,7 @@
     ++started;
     ++started_by_class[job.spec.job_class];
     changed(host);
-    if (job.spec.shape == Shape::service) return;
+    if (job.spec.kind == JobKind::service) return;
     events_.after(job.runs, [this, host, name, serial] { completes(host, name, serial); });
 }
 
@@ -371,8 +375,8 @@
     if (host->dead || t == host->tasks.end() || t->second.serial != serial || t->second.status != TaskStatus::running)
         return;
     auto& job = jobs_[name.first];
-    if (job.spec.shape != Shape::gang) {
-        if (events_.now() >= host->hangs_until) return ends(host, name, Cause::done);
+    if (job.spec.kind != JobKind::gang) {
+        if (events_.now() >= host->hangs_until) return ends(host, name, ExitReason::done);
         // What hangs goes on later.
         events_.after(host->hangs_until - events_.now() + Seconds(0.01),
                       [this, host, name, serial] { completes(host, name, serial); });
@@ -387,22 +391,23 @@
         job.done.insert(i);
         observer_.completed({name.first, i});
     }
-    for (const auto& [other, task] : all) ends(other, task, Cause::done);
+    for (const auto& [other, task] : all) ends(other, task, ExitReason::done);
 }
 
-void Fleet::ends(const HostPtr& host, const TaskName& name, Cause cause) {
+void Fleet::ends(const HostPtr& host, const TaskName& name, ExitReason exit_reason) {
     auto& task = host->tasks[name];
     const bool was_there = task.status != TaskStatus::fetching;
     auto& job = jobs_[name.first];
     task.status = TaskStatus::exited;
-    task.cause = cause;
+    task.exit_reason = exit_reason;
     placement::take(host->used, job.spec.need);
     if (was_there) observer_.leaves(name, host->name);
-    if (cause == Cause::stopped && was_there && job.spec.shape != Shape::service) stopped[name] = events_.now();
-    if (cause == Cause::done) {
+    if (exit_reason == ExitReason::stopped && was_there && job.spec.kind != JobKind::service)
+        stopped[name] = events_.now();
+    if (exit_reason == ExitReason::done) {
         ++finished;
         if (job.done.insert(name.second).second) observer_.completed(name);
-    } else if (job.spec.shape == Shape::gang) {
+    } else if (job.spec.kind == JobKind::gang) {
         gang_member_gone(name, task.attempt);
     }
     changed(host);
@@ -413,7 +418,7 @@
     const auto uid = name.first;
     events_.after(settings_.gang_peer * events_.uniform(0.3, 1), [this, uid, attempt] {
         for (const auto& [other, task] : members(uid, attempt))
-            if (other->tasks.at(task).status == TaskStatus::running) ends(other, task, Cause::peers);
+            if (other->tasks.at(task).status == TaskStatus::running) ends(other, task, ExitReason::gang_member_lost);
     });
 }
 
@@ -421,7 +426,7 @@
     for (const auto& [name, t] : host->tasks) {
         if (t.status == TaskStatus::exited) continue;
         if (t.status != TaskStatus::fetching) observer_.leaves(name, host->name);
-        if (jobs_[name.first].spec.shape == Shape::gang) gang_member_gone(name, t.attempt);
+        if (jobs_[name.first].spec.kind == JobKind::gang) gang_member_gone(name, t.attempt);
     }
     host->tasks.clear();
     host->used = {};
@@ -430,12 +435,12 @@
 void Fleet::check_lease(const HostPtr& host) {
     auto& h = *host;
     if (h.dead) return;
-    if (events_.now() >= h.hangs_until && events_.now() - h.lease_from > wire::to_clock(settings_.lease)) {
+    if (events_.now() >= h.hangs_until && events_.now() - h.lease_from > model::to_clock(settings_.lease)) {
         lease_kills += h.tasks.size();
         for (const auto& [name, t] : h.tasks)
             if (t.status != TaskStatus::exited) stopped[name] = events_.now();
         drop_all(host);
-        ++h.tenure;
+        ++h.incarnation;
         h.lease_from = events_.now();
         changed(host);
     }
@@ -469,19 +474,19 @@
     const auto it = hosts_.find(machine);
     if (it == hosts_.end() || it->second->dead) return;
     drop_all(it->second);
-    it->second->hangs_until = events_.now() + wire::to_clock(settings_.lease * restart_leases);
+    it->second->hangs_until = events_.now() + model::to_clock(settings_.lease * restart_leases);
 }
 
 void Fleet::hang(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->hangs_until = events_.now() + wire::to_clock(lasts);
+    for (const auto& h : some(share)) h->hangs_until = events_.now() + model::to_clock(lasts);
 }
 
 void Fleet::cut(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->cut_until = events_.now() + wire::to_clock(lasts);
+    for (const auto& h : some(share)) h->cut_until = events_.now() + model::to_clock(lasts);
 }
 
 void Fleet::mute(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->mute_until = events_.now() + wire::to_clock(lasts);
+    for (const auto& h : some(share)) h->mute_until = events_.now() + model::to_clock(lasts);
 }
 
 void Fleet::hang_with(const std::string& uid, std::size_t machines, Seconds lasts) {
@@ -491,18 +496,18 @@
         });
         if (!holds || h->dead || machines == 0) continue;
         --machines;
-        h->hangs_until = events_.now() + wire::to_clock(lasts);
+        h->hangs_until = events_.now() + model::to_clock(lasts);
     }
 }
 
 void Fleet::deafen(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->deaf_until = events_.now() + wire::to_clock(lasts);
+    for (const auto& h : some(share)) h->deaf_until = events_.now() + model::to_clock(lasts);
 }
 
 std::size_t Fleet::answered_by(std::size_t node, Seconds within) const {
     return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
         return h.second->up && !h.second->dead && h.second->node == node &&
-               events_.now() - h.second->lease_from < wire::to_clock(within);
+               events_.now() - h.second->lease_from < model::to_clock(within);
     }));
 }
 
@@ -521,7 +526,7 @@
     return out;
 }
 
-Fleet::Room Fleet::room_on(const wire::JobSpec& spec) const {
+Fleet::Room Fleet::room_on(const model::JobSpec& spec) const {
     Room out;
     const auto now = events_.now();
     for (const auto& [name, h] : hosts_) {
@@ -537,7 +542,7 @@
     return out;
 }
 
-std::size_t Fleet::room_for(const wire::JobSpec& spec, const Room& room) const {
+std::size_t Fleet::room_for(const model::JobSpec& spec, const Room& room) const {
     std::map<std::string, std::size_t> by_zone, there;
     for (const auto& [name, h] : hosts_) {
         if (const auto it = room.find(name); it != room.end()) by_zone[h->zone] += it->second;
@@ -566,4 +571,4 @@
         std::count_if(hosts_.begin(), hosts_.end(), [](const auto& h) { return h.second->up && !h.second->dead; }));
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/fleet.hpp
+++ b/src/simulator/fleet.hpp
@@ -6,12 +6,15 @@
 #include <memory>
 
 #include "cloud/client.hpp"
-#include "emulator/checker.hpp"
-#include "emulator/rentals.hpp"
-#include "emulator/scenario.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
 #include "net/http_server.hpp"
+#include "simulator/checker.hpp"
+#include "simulator/rentals.hpp"
+#include "simulator/scenario.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 // Who sends a request to a controller: a worker. Users have neither.
 struct Origin {
@@ -27,7 +30,7 @@
     Fleet(Events& events, TaskObserver& observer, const config::Settings& settings, const Scenario& scenario, Ask ask);
 
     // What the users uploaded: how long a task runs.
-    void upload(const wire::JobSpec& spec, Seconds runs) { jobs_[spec.uid] = {spec, runs, {}}; }
+    void upload(const model::JobSpec& spec, Seconds runs) { jobs_[spec.uid] = {spec, runs, {}}; }
     void warm_up(std::size_t machines);
     // A machine that another process keeps the books of.
     void add(const Rented& rented, Seconds boots_in);
@@ -37,13 +40,13 @@
     cloud::RentResult rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
                            int count);
     void release(const std::vector<std::string>& names);
-    std::vector<wire::ListedMachine> list() const;
+    std::vector<model::ListedMachine> list() const;
     // The report of the worker at that address, asked for directly; nothing if the question does not reach it.
     std::optional<std::string> status(const std::string& address);
     // What the worker of that machine answers to POST /commands; nothing if that does not reach it.
     std::optional<net::Reply> command(const std::string& machine, const std::string& body);
     // Tells of each answer that counted: its token, and whether it ordered a task to run.
-    std::function<void(std::uint64_t token, bool runs)> answer_accepted;
+    std::function<void(std::uint64_t fencing_token, bool runs)> answer_accepted;
     // Tells of each machine whose worker starts to report.
     std::function<void(const std::string& machine)> came_up;
     std::string zone_of(const std::string& address) const;
@@ -72,9 +75,9 @@
     std::size_t held(const std::string& uid) const;
     // Machines that can be reached and that the job may use, with the number of its tasks that they have room for now.
     using Room = std::map<std::string, std::size_t>;
-    Room room_on(const wire::JobSpec& spec) const;
+    Room room_on(const model::JobSpec& spec) const;
     // For how many tasks of the job that is enough together, by its wishes on zones.
-    std::size_t room_for(const wire::JobSpec& spec, const Room& room) const;
+    std::size_t room_for(const model::JobSpec& spec, const Room& room) const;
     std::size_t up() const;
     // When work was last stopped that would have gone on: by a lease that ran out, or an order to a task of an array or
     // gang.
@@ -86,24 +89,24 @@
   private:
     struct Task {
         std::uint64_t attempt = 0;
-        wire::TaskStatus status = wire::TaskStatus::fetching;
-        wire::Cause cause = wire::Cause::none;
+        model::TaskStatus status = model::TaskStatus::fetching;
+        model::ExitReason exit_reason = model::ExitReason::none;
         std::uint64_t serial = 0;  // tells events of another run of it apart
     };
     struct Host {
         std::string name, address;
-        const wire::MachineType* type = nullptr;
+        const model::MachineType* type = nullptr;
         std::string zone;
         bool spot = false, up = false, dead = false, in_flight = false, changed = false;
         TimePoint lease_from{}, last_sent{}, hangs_until{}, cut_until{}, deaf_until{}, mute_until{};
-        std::uint64_t tenure = 1, tick = 0, token = 0, timer = 0;
+        std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0, timer = 0;
         std::size_t node = 0;
         std::map<TaskName, Task> tasks;
         std::set<std::string> images;
         placement::Resources used;
     };
     struct Job {
-        wire::JobSpec spec;
+        model::JobSpec spec;
         Seconds runs{0};
         std::set<std::uint32_t> done;
     };
@@ -112,13 +115,14 @@
     void comes_up(const HostPtr& host);
     void schedule_report(const HostPtr& host, Seconds in);
     void report(const HostPtr& host);
-    void answered(const HostPtr& host, std::uint64_t tenure, TimePoint sent, unsigned status, const std::string& body);
-    void obey(const HostPtr& host, const boost::json::array& orders);
+    void answered(const HostPtr& host, std::uint64_t incarnation, TimePoint sent, unsigned status,
+                  const std::string& body);
+    void obey(const HostPtr& host, const boost::json::array& commands);
     void run(const HostPtr& host, const TaskName& name, std::uint64_t attempt);
     void has_image(const HostPtr& host, const TaskName& name, std::uint64_t serial);
     void starts(const HostPtr& host, const TaskName& name);
     void completes(const HostPtr& host, const TaskName& name, std::uint64_t serial);
-    void ends(const HostPtr& host, const TaskName& name, wire::Cause cause);
+    void ends(const HostPtr& host, const TaskName& name, model::ExitReason exit_reason);
     void gang_member_gone(const TaskName& name, std::uint64_t attempt);
     void check_lease(const HostPtr& host);
     void drop_all(const HostPtr& host);
@@ -141,4 +145,4 @@
     std::uint64_t serials_ = 0;
 };
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/jobs.cpp
+++ b/src/simulator/jobs.cpp
@@ -1,10 +1,11 @@
-#include "emulator/jobs.hpp"
+#include "simulator/jobs.hpp"
 
 #include <fmt/format.h>
 
+#include "model/job.hpp"
 #include "wire/json.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 namespace {
 constexpr std::size_t images_of_a_class = 3;
@@ -12,7 +13,7 @@
 constexpr std::uint64_t name_step = 7919, names = 1'000'000;
 }  // namespace
 
-wire::JobSpec new_job_spec(const JobClass& job_class, std::uint64_t number, Events& events) {
+model::JobSpec new_job_spec(const JobClass& job_class, std::uint64_t number, Events& events) {
     auto spec = job_class.like;
     spec.uid = fmt::format("run-{:06}", number * name_step % names);
     spec.tasks =
@@ -21,7 +22,7 @@
     return spec;
 }
 
-net::Request submission_request(const wire::JobSpec& spec) {
+net::Request submission_request(const model::JobSpec& spec) {
     net::Request request;
     request.verb = net::http::verb::post;
     request.target = "/submissions";
@@ -31,4 +32,4 @@
     return request;
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- /dev/null
+++ b/src/simulator/jobs.hpp
@@ -0,0 +1,16 @@
+// What users submit, drawn from a class of jobs.
+#pragma once
+#include "model/job.hpp"
+#include "net/http_server.hpp"
+#include "simulator/events.hpp"
+#include "simulator/scenario.hpp"
+
+namespace flintdale::simulator {
+
+// The job of that number, with the luck of the run in its size and image.
+model::JobSpec new_job_spec(const JobClass& job_class, std::uint64_t number, Events& events);
+
+// POST /submissions, as its user sends it.
+net::Request submission_request(const model::JobSpec& spec);
+
+}  // namespace flintdale::simulator
--- a/src/emulator/rentals.cpp
+++ b/src/simulator/rentals.cpp
@@ -1,10 +1,12 @@
-#include "emulator/rentals.hpp"
+#include "simulator/rentals.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace flintdale::emulator {
+#include "model/machine.hpp"
+
+namespace flintdale::simulator {
 
 namespace {
 constexpr Seconds listed_dead{30};  // after which the list tells that a machine has died
@@ -13,7 +15,7 @@
 Rentals::Rentals(Events& events, const config::Settings& settings, const Scenario& scenario, AddressOf address_of)
     : events_(events), settings_(settings), scenario_(scenario), address_of_(std::move(address_of)) {}
 
-const Rented& Rentals::add(const wire::MachineType& type, const std::string& zone, bool spot) {
+const Rented& Rentals::add(const model::MachineType& type, const std::string& zone, bool spot) {
     Rented rented;
     rented.name = fmt::format("n-{:06}", ++names_);
     rented.address = address_of_(rented.name, names_);
@@ -64,20 +66,20 @@
     it->second.died = events_.now();
 }
 
-std::vector<wire::ListedMachine> Rentals::list(const std::string& after, std::size_t most) const {
-    std::vector<wire::ListedMachine> out;
+std::vector<model::ListedMachine> Rentals::list(const std::string& after, std::size_t most) const {
+    std::vector<model::ListedMachine> out;
     for (auto it = machines_.upper_bound(after); it != machines_.end() && out.size() < most; ++it) {
         const auto& m = it->second;
         const Seconds age = events_.now() - m.since;
         if (age < settings_.list_lag && age < events_.since_start()) continue;
-        const bool failed = m.dead && events_.now() - m.died > wire::to_clock(listed_dead);
+        const bool failed = m.dead && events_.now() - m.died > model::to_clock(listed_dead);
         out.push_back({m.name, m.address, m.type->name, m.zone, m.spot,
-                       failed ? wire::MachineStatus::failed
-                       : m.up ? wire::MachineStatus::running
-                              : wire::MachineStatus::booting,
+                       failed ? model::MachineStatus::failed
+                       : m.up ? model::MachineStatus::running
+                              : model::MachineStatus::booting,
                        age});
     }
     return out;
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/rentals.hpp
+++ b/src/simulator/rentals.hpp
@@ -3,14 +3,15 @@
 #include <map>
 
 #include "cloud/client.hpp"
-#include "emulator/events.hpp"
-#include "emulator/scenario.hpp"
+#include "model/machine.hpp"
+#include "simulator/events.hpp"
+#include "simulator/scenario.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 struct Rented {
     std::string name, address;
-    const wire::MachineType* type = nullptr;
+    const model::MachineType* type = nullptr;
     std::string zone;
     bool spot = false, up = false, dead = false;
     TimePoint since{}, died{};
@@ -29,7 +30,7 @@
     // A request that was granted before is given the same answer, and nothing is rented for it.
     Granted rent(const std::string& request, const std::string& type, const std::string& zone, bool spot, int count);
     // One that is there from the start.
-    const Rented& add(const wire::MachineType& type, const std::string& zone, bool spot);
+    const Rented& add(const model::MachineType& type, const std::string& zone, bool spot);
     void came_up(const std::string& name);
     void died(const std::string& name);
     void release(const std::string& name) { machines_.erase(name); }
@@ -37,7 +38,7 @@
     const Rented* find(const std::string& name) const;
     const std::map<std::string, Rented>& all() const { return machines_; }
     // At most so many, in the order of their names, after that one. Younger ones than the list lags are missing.
-    std::vector<wire::ListedMachine> list(const std::string& after = {}, std::size_t most = SIZE_MAX) const;
+    std::vector<model::ListedMachine> list(const std::string& after = {}, std::size_t most = SIZE_MAX) const;
 
   private:
     Events& events_;
@@ -49,4 +50,4 @@
     std::uint64_t names_ = 0;
 };
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/scenario.hpp
+++ b/src/simulator/scenario.hpp
@@ -5,14 +5,17 @@
 #include <vector>
 
 #include "config/settings.hpp"
+#include "model/clock.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
-using wire::Seconds;
+using model::Seconds;
 
 struct JobClass {
-    wire::JobSpec like;  // everything but the name
-    int initial = 0;     // that come at the start
+    model::JobSpec like;  // everything but the name
+    int initial = 0;      // that come at the start
     double per_minute = 0;
     std::uint32_t tasks_from = 1, tasks_to = 1;
     double runs_s = 30;    // of a task, give or take a fifth; a service's replicas run until it is cancelled
@@ -21,7 +24,7 @@
 };
 
 // One trouble. Which of the fields count depends on the kind; docs/emulator.md lists them.
-struct Trouble {
+struct Fault {
     std::string kind;
     Seconds at{0}, lasts{0};
     double share = 1;  // of the machines concerned
@@ -40,7 +43,7 @@
     std::string name, cluster;  // the platform's settings but for what differs between controllers
     std::vector<std::string> members, member_zones;
     Seconds length{300};
-    std::vector<wire::MachineType> types;
+    std::vector<model::MachineType> types;
     std::size_t capacity = 0;                 // machines that the cloud has in all; 0: as many as are asked for
     std::size_t warm = 0;                     // machines that are up at the start
     double late = 0;                          // share of transactions that are late
@@ -53,11 +56,11 @@
     double direct_share = 1;                  // the operators' workers.direct_share; 0: all reports are relayed
     std::size_t pairs = 0;  // pairs of troubles drawn by the seed, the second after a step of the first
     std::vector<JobClass> jobs;
-    std::vector<Trouble> troubles;
+    std::vector<Fault> troubles;
 };
 
-// Throws config::BadSetting, naming what is wrong where.
+// Throws config::ConfigError, naming what is wrong where.
 Scenario load_scenario(const std::string& path);
 Scenario parse_scenario(const std::string& text, const std::string& name);
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/world.cpp
+++ b/src/simulator/simulation.cpp
@@ -1,14 +1,17 @@
-#include "emulator/world.hpp"
+#include "simulator/simulation.hpp"
 
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
 
 #include <cmath>
 
-#include "emulator/jobs.hpp"
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "simulator/jobs.hpp"
 #include "state/generation_marker.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 using namespace std::chrono_literals;
 namespace json = boost::json;
@@ -21,18 +24,18 @@
 constexpr double large = 0.75;  // of the greatest number of tasks
 }  // namespace
 
-class World::CloudLink : public cloud::Cloud {
+class Simulation::CloudLink : public cloud::Cloud {
   public:
     CloudLink(Events& events, Fleet& fleet, const Scenario& scenario)
         : events_(events), fleet_(fleet), scenario_(scenario) {}
     bool cut = false;
 
-    net::awaitable<std::optional<std::vector<wire::MachineType>>> catalog() override {
+    net::awaitable<std::optional<std::vector<model::MachineType>>> catalog() override {
         const bool there = co_await reach();
         if (!there) co_return std::nullopt;
         co_return scenario_.types;
     }
-    net::awaitable<std::optional<std::vector<wire::ListedMachine>>> machines() override {
+    net::awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override {
         const bool there = co_await reach();
         if (!there) co_return std::nullopt;
         co_return fleet_.list();
@@ -51,7 +54,7 @@
 
   private:
     net::awaitable<bool> reach() {
-        co_await net::sleep_for(wire::to_clock(Seconds(events_.uniform(0.05, 0.25))));
+        co_await net::sleep_for(model::to_clock(Seconds(events_.uniform(0.05, 0.25))));
         co_return !cut && !fleet_.down;
     }
     Events& events_;
@@ -59,15 +62,15 @@
     const Scenario& scenario_;
 };
 
-class World::WorkersLink : public worker::Workers {
+class Simulation::WorkersLink : public worker::Workers {
   public:
     WorkersLink(Events& events, Fleet& fleet) : events_(events), fleet_(fleet) {}
     std::function<bool(const std::string& zone)> reaches;
 
-    net::awaitable<std::optional<wire::WorkerReport>> status(std::string address) override {
-        co_await net::sleep_for(wire::to_clock(Seconds(events_.uniform(0.002, 0.02))));
+    net::awaitable<std::optional<model::Heartbeat>> status(std::string address) override {
+        co_await net::sleep_for(model::to_clock(Seconds(events_.uniform(0.002, 0.02))));
         const auto report = reaches(fleet_.zone_of(address)) ? fleet_.status(address) : std::nullopt;
-        if (report) co_return wire::parse_report(*report);
+        if (report) co_return wire::parse_heartbeat(*report);
         co_await net::sleep_for(1500ms);
         co_return std::nullopt;
     }
@@ -78,22 +81,22 @@
 };
 
 // One controller; each life has its own executor, so that what was under way when it ended never goes on.
-struct World::Node {
-    struct Life {
+struct Simulation::Node {
+    struct Process {
         net::asio::io_context io{1};
-        state::Form form;
+        state::RecordFormat record_format;
         StateLink state;
         CloudLink cloud;
         WorkersLink workers;
         app::Controller controller;
-        Life(World& w, std::size_t n, const config::Settings& settings)
-            : form(settings),
+        Process(Simulation& w, std::size_t n, const config::Settings& settings)
+            : record_format(settings),
               state(io.get_executor(), w.events_, w.keys_, settings.limits, settings.nodes),
               cloud(w.events_, w.fleet_, w.scenario_),
               workers(w.events_, w.fleet_),
               controller(
-                  io.get_executor(), settings, w.tunables_, form,
-                  {state, cloud, workers, [&w, n](const peer::Beat& b) { w.tell_peers(n, b); },
+                  io.get_executor(), settings, w.tunables_, record_format,
+                  {state, cloud, workers, [&w, n](const peer::StatusMessage& b) { w.broadcast_status(n, b); },
                    [&w] { return epoch_ms + std::llround(w.events_.since_start().count() * 1000); },
                    [&w, n](const std::string& member, const peer::RelayMessage& m) { return w.relay(n, member, m); }}) {
             state.outage = &w.outage_;
@@ -107,14 +110,14 @@
             controller.start();
         }
     };
-    std::unique_ptr<Life> life;
+    std::unique_ptr<Process> process;
     TimePoint frozen_until{};
     TimePoint due{};    // its earliest timer
     bool told = false;  // something has reached it since it last ran
     bool cut_state = false, refused = false, cut_workers = false, cut_peers = false;
 };
 
-std::string World::settings_text(std::size_t n) const {
+std::string Simulation::settings_text(std::size_t n) const {
     std::string out =
         fmt::format("member = \"{}\"\nlocation = \"{}\"\nserve_on = \"10.0.0.{}:80\"\npeer_listen = \"10.0.0.{}:81\"\n",
                     scenario_.members[n], scenario_.member_zones[n], n + 1, n + 1);
@@ -125,7 +128,7 @@
     return out + "[endpoints]\ncloud = \"10.2.0.2:80\"\nstate = \"10.2.0.1:80\"\n" + scenario_.cluster;
 }
 
-World::World(const Scenario& scenario, std::uint64_t seed)
+Simulation::Simulation(const Scenario& scenario, std::uint64_t seed)
     : scenario_(scenario),
       events_(seed),
       settings_([&] {
@@ -145,34 +148,34 @@
     tunables_.direct_share = scenario.direct_share;
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
 // --- controllers ---
 
-void World::start_node(std::size_t n) {
+void Simulation::start_node(std::size_t n) {
     auto& node = *nodes_[n];
-    node.life = std::make_unique<Node::Life>(*this, n, settings_[n]);
+    node.process = std::make_unique<Node::Process>(*this, n, settings_[n]);
     node.told = true;
-    node.life->state.cut = node.cut_state;
-    node.life->state.refused = node.refused;
+    node.process->state.cut = node.cut_state;
+    node.process->state.refused = node.refused;
 }
 
-void World::end_node(std::size_t n, Seconds back_after) {
-    if (!nodes_[n]->life) return;
-    nodes_[n]->life.reset();
+void Simulation::end_node(std::size_t n, Seconds back_after) {
+    if (!nodes_[n]->process) return;
+    nodes_[n]->process.reset();
     events_.after(back_after, [this, n] { start_node(n); });
 }
 
-bool World::reaches(const std::string& zone, std::size_t node) const {
+bool Simulation::reaches(const std::string& zone, std::size_t node) const {
     const auto& there = scenario_.member_zones[node];
     // A cut zone goes on inside; users are of no zone.
     return zone == there || (!cut_zones_.contains(zone) && !cut_zones_.contains(there));
 }
 
-std::size_t World::any_node() { return events_.pick(nodes_.size()); }
+std::size_t Simulation::any_node() { return events_.pick(nodes_.size()); }
 
-void World::ask(std::size_t n, const std::string& zone, net::Request request, Seconds patience,
-                std::function<void(unsigned, const std::string&)> done) {
+void Simulation::ask(std::size_t n, const std::string& zone, net::Request request, Seconds patience,
+                     std::function<void(unsigned, const std::string&)> done) {
     struct Call {
         std::function<void(unsigned, const std::string&)> done;
         void end(unsigned status, const std::string& body) {
@@ -184,7 +187,7 @@
     events_.after(patience, [call] { call->end(0, ""); });
     const bool worker = !zone.empty();
     const bool open = reaches(zone, n) && !(worker && nodes_[n]->cut_workers);
-    if (!nodes_[n]->life) {
+    if (!nodes_[n]->process) {
         events_.after(Seconds(0.02), [call] { call->end(0, ""); });
         return;
     }
@@ -195,10 +198,10 @@
     const auto way = open ? events_.uniform(0.001, 0.02) + held() : events_.uniform(5, 60);
     if (!open && events_.chance(0.7)) return;
     events_.after(Seconds(way), [this, n, call, zone, worker, held, request = std::move(request)]() mutable {
-        auto& life = nodes_[n]->life;
+        auto& process = nodes_[n]->process;
         nodes_[n]->told = true;
-        if (!life || !reaches(zone, n) || (worker && nodes_[n]->cut_workers)) return;
-        net::asio::co_spawn(life->io, life->controller.handle(std::move(request)),
+        if (!process || !reaches(zone, n) || (worker && nodes_[n]->cut_workers)) return;
+        net::asio::co_spawn(process->io, process->controller.handle(std::move(request)),
                             [this, call, n, zone, held](std::exception_ptr error, net::Reply reply) {
                                 if (error) std::rethrow_exception(error);
                                 if (!reaches(zone, n)) return;
@@ -209,28 +212,28 @@
     });
 }
 
-bool World::peers_reach(std::size_t from, std::size_t to) const {
+bool Simulation::peers_reach(std::size_t from, std::size_t to) const {
     return from != to && !nodes_[from]->cut_peers && !nodes_[to]->cut_peers &&
            reaches(scenario_.member_zones[from], to);
 }
 
-void World::post(std::size_t to, std::function<void(app::Controller&)> what) {
+void Simulation::post(std::size_t to, std::function<void(app::Controller&)> what) {
     events_.after(Seconds(events_.uniform(0.001, 0.02)), [this, to, what = std::move(what)] {
         nodes_[to]->told = true;
-        if (!nodes_[to]->life) return;
-        net::asio::post(nodes_[to]->life->io, [this, to, what] { what(nodes_[to]->life->controller); });
+        if (!nodes_[to]->process) return;
+        net::asio::post(nodes_[to]->process->io, [this, to, what] { what(nodes_[to]->process->controller); });
     });
 }
 
-void World::tell_peers(std::size_t from, const peer::Beat& beat) {
+void Simulation::broadcast_status(std::size_t from, const peer::StatusMessage& status) {
     for (std::size_t n = 0; n < nodes_.size(); ++n)
-        if (peers_reach(from, n)) post(n, [beat](app::Controller& c) { c.received(beat); });
+        if (peers_reach(from, n)) post(n, [status](app::Controller& c) { c.received(status); });
 }
 
-bool World::relay(std::size_t from, const std::string& member, const peer::RelayMessage& message) {
+bool Simulation::relay(std::size_t from, const std::string& member, const peer::RelayMessage& message) {
     const auto at = std::find(scenario_.members.begin(), scenario_.members.end(), member);
     const auto to = static_cast<std::size_t>(at - scenario_.members.begin());
-    if (at == scenario_.members.end() || !nodes_[to]->life) return false;
+    if (at == scenario_.members.end() || !nodes_[to]->process) return false;
     // What is cut is not noticed at once: the message is on its way, and lost.
     if (!peers_reach(from, to)) return true;
     ++outcome_.relayed;
@@ -240,7 +243,7 @@
 
 // --- users ---
 
-void World::arrivals(const JobClass& c) {
+void Simulation::arrivals(const JobClass& c) {
     if (c.per_minute <= 0) return;
     const Seconds gap(-std::log(1 - events_.uniform(0, 1)) * 60 / c.per_minute);
     events_.after(gap, [this, &c] {
@@ -249,7 +252,7 @@
     });
 }
 
-void World::new_job(const JobClass& c) {
+void Simulation::new_job(const JobClass& c) {
     auto job = std::make_shared<UserJob>();
     job->spec = new_job_spec(c, ++uids_, events_);
     job->submitted = job->no_room = events_.now();
@@ -260,7 +263,7 @@
     submit(job, events_.now() + 60s);
 }
 
-void World::submit(const std::shared_ptr<UserJob>& job, TimePoint until) {
+void Simulation::submit(const std::shared_ptr<UserJob>& job, TimePoint until) {
     const auto asked = events_.now();
     const auto n = any_node();
     ask(n, "", submission_request(job->spec), user_patience,
@@ -282,11 +285,11 @@
         });
 }
 
-void World::submit_again(const std::shared_ptr<UserJob>& job) { again(job, 0); }
+void Simulation::submit_again(const std::shared_ptr<UserJob>& job) { again(job, 0); }
 
 // The same submission, or one that by itself would be refused: a job once accepted stays so, whatever its repetition
 // says, and is told as it is.
-void World::again(const std::shared_ptr<UserJob>& job, double unlike) {
+void Simulation::again(const std::shared_ptr<UserJob>& job, double unlike) {
     auto spec = job->spec;
     if (events_.chance(unlike)) spec.team = "nobody";
     auto r = submission_request(spec);
@@ -305,7 +308,7 @@
 }
 
 // Users call off jobs that run and have long to go, all within a fifth of a second; some of their machines hang.
-void World::cancel_now(const Trouble& t) {
+void Simulation::cancel_now(const Fault& t) {
     auto most = static_cast<std::size_t>(t.share);
     std::size_t hanging = 8;
     for (const auto& job : jobs_) {
@@ -324,7 +327,7 @@
 }
 
 // The moment at which a job's last task completes: called off, asked about and submitted again.
-void World::look_for_ends() {
+void Simulation::look_for_ends() {
     if (cancels_at_end_ <= 0) return;
     for (const auto& job : jobs_) {
         if (!job->accepted || job->ended || !checker_.all_done(job->spec.uid)) continue;
@@ -340,7 +343,7 @@
 }
 
 // Repeated submissions of unfinished jobs, cancellations of jobs that are done, jobs that cannot run or lack a field.
-void World::odd_requests(TimePoint until) {
+void Simulation::odd_requests(TimePoint until) {
     if (events_.now() > until) return;
     if (!jobs_.empty()) {
         const auto job = jobs_[events_.pick(jobs_.size())];
@@ -351,7 +354,7 @@
     events_.after(Seconds(events_.uniform(0.2, 1)), [this, until] { odd_requests(until); });
 }
 
-void World::unsound_job(std::size_t kind) {
+void Simulation::unsound_job(std::size_t kind) {
     auto spec = scenario_.jobs[events_.pick(scenario_.jobs.size())].like;
     spec.uid = fmt::format("run-{:07}", 4'000'000 + events_.pick(5'000'000));
     spec.image = "x";
@@ -373,7 +376,7 @@
     });
 }
 
-void World::poll(const std::shared_ptr<UserJob>& job) {
+void Simulation::poll(const std::shared_ptr<UserJob>& job) {
     net::Request r;
     r.target = "/submissions/" + job->spec.uid;
     const auto asked = events_.now();
@@ -399,7 +402,7 @@
     });
 }
 
-void World::cancel(const std::shared_ptr<UserJob>& job) {
+void Simulation::cancel(const std::shared_ptr<UserJob>& job) {
     if (job->over && !job->done) return;
     job->cancelling = true;
     checker_.asked_to_cancel(job->spec.uid);
@@ -423,7 +426,7 @@
     });
 }
 
-void World::told(const std::string& uid, const std::string& word, TimePoint asked, std::size_t node) {
+void Simulation::told(const std::string& uid, const std::string& word, TimePoint asked, std::size_t node) {
     const auto before = checker_.cancelled_running();
     outcome_.words += checker_.final_told(uid);
     checker_.told(uid, word, asked);
@@ -433,7 +436,7 @@
     step_seen("cancelled");
 }
 
-void World::ask_of_nobody() {
+void Simulation::ask_of_nobody() {
     net::Request r;
     const auto uid = fmt::format("run-{:07}", 2'000'000 + events_.pick(1'000'000));
     r.target = "/submissions/" + uid;
@@ -446,10 +449,10 @@
 
 // --- troubles ---
 
-std::vector<std::size_t> World::nodes_of(const Trouble& t) const {
+std::vector<std::size_t> Simulation::nodes_of(const Fault& t) const {
     std::vector<std::size_t> out;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
-        const bool leads = nodes_[n]->life && nodes_[n]->life->controller.leading();
+        const bool leads = nodes_[n]->process && nodes_[n]->process->controller.leading();
         if (t.node == "all" || t.node == scenario_.members[n] || (t.node == "leader" && leads) ||
             (t.node == "follower" && !leads && out.empty()) || (t.node == "followers" && !leads))
             out.push_back(n);
@@ -457,7 +460,7 @@
     return out;
 }
 
-void World::loses_data(const Trouble& t) {
+void Simulation::loses_data(const Fault& t) {
     const auto here = fleet_.running();
     ++outcome_.losses;
     lost_at_ = unanswered_since_ = events_.now();
@@ -468,7 +471,7 @@
     if (t.kind == "garble") keys_.garble(t.prefix, 3);
     events_.after(disturbed_after, [this, here] {
         std::size_t all = 0, same = 0;
-        const auto began = events_.now() - wire::to_clock(disturbed_after);
+        const auto began = events_.now() - model::to_clock(disturbed_after);
         for (const auto& [task, machine] : here) {
             const bool cancelled = std::any_of(jobs_.begin(), jobs_.end(), [&uid = task.first](const auto& j) {
                 return j->spec.uid == uid && j->cancel_after.count() >= 0;
@@ -483,13 +486,13 @@
     });
 }
 
-void World::trouble(const Trouble& t) {
+void Simulation::trouble(const Fault& t) {
     outcome_.troubles.push_back(fmt::format("{:.1f} {} {}{}{} {:.1f}", t.at.count(), t.kind, t.node, t.zone, t.prefix,
                                             t.kind == "set_back" ? t.seconds : t.lasts.count()));
     spdlog::info("event=trouble at={:.1f} kind={}", events_.since_start().count(), t.kind);
     if (t.kind == "refused" || t.kind == "cut_state" || t.kind == "isolate")
         for (const auto n : nodes_of(t))
-            if (!alone_ && nodes_[n]->life && nodes_[n]->life->controller.leading()) {
+            if (!alone_ && nodes_[n]->process && nodes_[n]->process->controller.leading()) {
                 alone_ = n;
                 alone_since_ = events_.now();
                 events_.after(t.lasts, [this] { alone_.reset(); });
@@ -503,7 +506,7 @@
         for (const auto n : nodes_of(t)) {
             const auto set = [this, n, flag, link](bool on) {
                 (*nodes_[n]).*flag = on;
-                if (link && nodes_[n]->life) nodes_[n]->life->state.*link = on;
+                if (link && nodes_[n]->process) nodes_[n]->process->state.*link = on;
             };
             set(true);
             until([set] { set(false); });
@@ -526,7 +529,7 @@
         burst_ = std::max(1.0, t.share);
         until([this] { burst_ = 1; });
     } else if (t.kind == "freeze")
-        for (const auto n : nodes_of(t)) nodes_[n]->frozen_until = events_.now() + wire::to_clock(t.lasts);
+        for (const auto n : nodes_of(t)) nodes_[n]->frozen_until = events_.now() + model::to_clock(t.lasts);
     else if (t.kind == "cut_state")
         each(&Node::cut_state, &StateLink::cut);
     else if (t.kind == "isolate") {
@@ -535,7 +538,7 @@
         each(&Node::cut_peers, nullptr);
         for (const auto n : nodes_of(t))
             events_.after(Seconds(5),
-                          [this, n, end = events_.now() + wire::to_clock(t.lasts)] { ask_whether_ready(n, end); });
+                          [this, n, end = events_.now() + model::to_clock(t.lasts)] { ask_whether_ready(n, end); });
     } else if (t.kind == "refused")
         each(&Node::refused, &StateLink::refused);
     else if (t.kind == "cut_workers")
@@ -554,14 +557,14 @@
         for (std::size_t n = 0; n < nodes_.size(); ++n)
             if (scenario_.member_zones[n] == t.zone) {
                 nodes_[n]->cut_state = true;
-                if (nodes_[n]->life) nodes_[n]->life->state.cut = true;
+                if (nodes_[n]->process) nodes_[n]->process->state.cut = true;
             }
         until([this, zone = t.zone] {
             cut_zones_.erase(zone);
             for (std::size_t n = 0; n < nodes_.size(); ++n)
                 if (scenario_.member_zones[n] == zone) {
                     nodes_[n]->cut_state = false;
-                    if (nodes_[n]->life) nodes_[n]->life->state.cut = false;
+                    if (nodes_[n]->process) nodes_[n]->process->state.cut = false;
                 }
         });
     } else if (t.kind == "cloud_down") {
@@ -587,7 +590,7 @@
         cancels_at_end_ = t.share;
         until([this] { cancels_at_end_ = 0; });
     } else if (t.kind == "odd_requests")
-        odd_requests(events_.now() + wire::to_clock(t.lasts));
+        odd_requests(events_.now() + model::to_clock(t.lasts));
     else if (t.kind == "machines_die")
         fleet_.die(t.share);
     else if (t.kind == "machines_hang")
@@ -595,18 +598,18 @@
     else if (t.kind == "machines_cut")
         fleet_.cut(t.share, t.lasts);
     else
-        throw config::BadSetting(scenario_.name + ": troubles: unknown kind \"" + t.kind + "\"");
+        throw config::ConfigError(scenario_.name + ": troubles: unknown kind \"" + t.kind + "\"");
 }
 
 // The n-th trouble of the scenario comes now, or so long after; and then those that come after it.
-void World::plan(std::size_t n) {
+void Simulation::plan(std::size_t n) {
     auto t = scenario_.troubles[n];
     if (t.at_to > t.at) t.at = Seconds(events_.uniform(t.at.count(), t.at_to.count()));
     if (t.lasts_to > t.lasts) t.lasts = Seconds(events_.uniform(t.lasts.count(), t.lasts_to.count()));
     const bool happens = t.chance >= 1 || events_.chance(t.chance);
     if (happens)
-        troubles_over_ =
-            std::max(troubles_over_, events_.now() + wire::to_clock(t.at + t.lasts + (t.times - 1) * Seconds(t.every)));
+        troubles_over_ = std::max(troubles_over_,
+                                  events_.now() + model::to_clock(t.at + t.lasts + (t.times - 1) * Seconds(t.every)));
     events_.after(t.at, [this, n, t, happens] {
         if (happens) trouble(t);
         if (n + 1 >= scenario_.troubles.size() || scenario_.troubles[n + 1].after.empty()) return;
@@ -617,7 +620,7 @@
     });
 }
 
-void World::step_seen(const std::string& step) {
+void Simulation::step_seen(const std::string& step) {
     auto waiting = std::exchange(awaited_, {});
     for (auto& [awaited, go] : waiting)
         if (awaited == step)
@@ -627,7 +630,7 @@
 }
 
 // Troubles by luck: several at once, and again while the last is being mended.
-void World::draw_troubles() {
+void Simulation::draw_troubles() {
     std::vector<std::string> common{"crash",       "freeze",       "cut_state",     "refused",
                                     "cut_workers", "cut_peers",    "outage",        "cut_zone",
                                     "cloud_down",  "machines_die", "machines_hang", "machines_cut"};
@@ -638,12 +641,12 @@
     const double length = scenario_.length.count();
     const auto n = static_cast<std::size_t>(std::llround(events_.uniform(0.5, 1.5) * scenario_.drawn));
     const double heart = events_.uniform(0.25, 0.5) * length;
-    const auto plan = [&](Trouble t) {
-        troubles_over_ = std::max(troubles_over_, events_.now() + wire::to_clock(t.at + t.lasts));
+    const auto plan = [&](Fault t) {
+        troubles_over_ = std::max(troubles_over_, events_.now() + model::to_clock(t.at + t.lasts));
         events_.after(t.at, [this, t] { trouble(t); });
     };
     for (std::size_t i = 0; i < n; ++i) {
-        Trouble t;
+        Fault t;
         t.kind = common[events_.pick(common.size())];
         // Most come close together.
         t.at = Seconds(events_.chance(0.7) ? heart + events_.uniform(-15, 25) : events_.uniform(10, length * 0.7));
@@ -661,7 +664,7 @@
     if (!scenario_.draws_losses) return;
     const auto many = 1 + events_.pick(2);
     for (std::size_t i = 0; i < many; ++i) {
-        Trouble t;
+        Fault t;
         t.kind = losses[events_.pick(losses.size())];
         t.at = Seconds(i == 0 ? heart : heart + events_.uniform(0.2, 30));
         t.seconds = events_.uniform(0.5, 40);
@@ -672,7 +675,7 @@
 }
 
 // Two troubles that meet: the second begins while the first is being dealt with, after a step that was seen since.
-void World::draw_pairs() {
+void Simulation::draw_pairs() {
     static const std::vector<std::string> kinds{
         "crash",        "freeze",        "cut_state",    "refused",       "isolate",      "cut_workers",
         "cut_peers",    "outage",        "cut_zone",     "cloud_down",    "machines_die", "machines_hang",
@@ -682,7 +685,7 @@
     static const std::vector<std::string> steps{"", "elected", "cancelled"};
     const double length = scenario_.length.count();
     const auto draw = [this] {
-        Trouble t;
+        Fault t;
         t.kind = kinds[events_.pick(kinds.size())];
         const bool ends = t.kind == "crash";
         t.lasts =
@@ -697,9 +700,9 @@
         }
         return t;
     };
-    const auto begins = [this](Trouble t) {
+    const auto begins = [this](Fault t) {
         t.at = events_.since_start();
-        troubles_over_ = std::max(troubles_over_, events_.now() + wire::to_clock(t.lasts));
+        troubles_over_ = std::max(troubles_over_, events_.now() + model::to_clock(t.lasts));
         trouble(t);
     };
     for (std::size_t i = 0; i < scenario_.pairs; ++i) {
@@ -707,11 +710,11 @@
         const auto& step = steps[events_.pick(steps.size())];
         const Seconds at(events_.uniform(0.2, 0.5) * length),
             after(events_.chance(0.5) ? events_.uniform(0, 1.5) : events_.uniform(0, 20));
-        troubles_over_ = std::max(troubles_over_, events_.now() + wire::to_clock(at));
+        troubles_over_ = std::max(troubles_over_, events_.now() + model::to_clock(at));
         events_.after(at, [this, first, second, step, after, begins] {
             begins(first);
             const auto go = [this, second, after, begins] {
-                troubles_over_ = std::max(troubles_over_, events_.now() + wire::to_clock(after));
+                troubles_over_ = std::max(troubles_over_, events_.now() + model::to_clock(after));
                 events_.after(after, [second, begins] { begins(second); });
             };
             if (step.empty())
@@ -725,7 +728,7 @@
 // --- a run ---
 
 // Who has open work, and whether any of it is on a machine.
-void World::look_at_jobs() {
+void Simulation::look_at_jobs() {
     std::map<std::string, bool> going;
     for (const auto& j : jobs_) {
         if (!j->accepted || j->over || checker_.all_done(j->spec.uid)) continue;
@@ -746,7 +749,7 @@
     }
 }
 
-void World::ask_whether_ready(std::size_t n, TimePoint until) {
+void Simulation::ask_whether_ready(std::size_t n, TimePoint until) {
     if (events_.now() + 2s > until) return;
     net::Request r;
     r.target = "/ready";
@@ -757,11 +760,11 @@
     events_.after(Seconds(2), [this, n, until] { ask_whether_ready(n, until); });
 }
 
-void World::look_at_leaders() {
+void Simulation::look_at_leaders() {
     std::set<std::size_t> now;
     bool news = false;
     for (std::size_t n = 0; n < nodes_.size(); ++n)
-        if (nodes_[n]->life && nodes_[n]->life->controller.leading()) {
+        if (nodes_[n]->process && nodes_[n]->process->controller.leading()) {
             now.insert(n);
             news = news || !leading_.contains(n);
         }
@@ -770,19 +773,19 @@
     if (news) step_seen("elected");
 }
 
-void World::look_for_forgotten() {
+void Simulation::look_for_forgotten() {
     for (const auto& j : jobs_)
         if (j->accepted &&
-            events_.now() - std::max({j->answered, j->accepted_at, troubles_over_}) > wire::to_clock(forgotten_after))
+            events_.now() - std::max({j->answered, j->accepted_at, troubles_over_}) > model::to_clock(forgotten_after))
             checker_.unanswered(j->spec.uid);
 }
 
 // Once all troubles are over, a job must not wait for long while machines that fit have room all that time and its team
 // is under its limit: of a gang for all of it, of others for one task.
-void World::look_for_waiting() {
+void Simulation::look_for_waiting() {
     for (const auto& j : jobs_) {
         const auto& spec = j->spec;
-        const bool gang = spec.shape == wire::Shape::gang;
+        const bool gang = spec.kind == model::JobKind::gang;
         const auto placed = std::min<std::size_t>(spec.tasks, fleet_.held(spec.uid) + checker_.done_of(spec.uid));
         const std::size_t least = gang ? spec.tasks : 1;
         bool left = j->accepted && !j->over && !j->cancelling && (gang ? placed == 0 : placed < spec.tasks) &&
@@ -807,7 +810,7 @@
     events_.after(left_look, [this] { look_for_waiting(); });
 }
 
-void World::look() {
+void Simulation::look() {
     checker_.look();
     look_at_jobs();
     look_at_leaders();
@@ -817,14 +820,14 @@
         outcome_.rebuilt = marker->generation;
         declared_at_ = events_.since_start().count();
     }
-    if (lost_at_ && fleet_.last_start > *lost_at_ + wire::to_clock(Seconds(1))) {
+    if (lost_at_ && fleet_.last_start > *lost_at_ + model::to_clock(Seconds(1))) {
         outcome_.placing_after = std::max(outcome_.placing_after, Seconds(fleet_.last_start - *lost_at_).count());
         lost_at_.reset();
     }
     events_.after(Seconds(0.5), [this] { look(); });
 }
 
-Outcome World::play() {
+Outcome Simulation::play() {
     for (std::size_t n = 0; n < scenario_.members.size(); ++n) {
         nodes_.push_back(std::make_unique<Node>());
         start_node(n);
@@ -845,11 +848,11 @@
         events_.advance(step);
         look_for_ends();
         for (auto& node : nodes_)
-            if (node->life && events_.now() >= node->frozen_until && (node->told || events_.now() >= node->due)) {
+            if (node->process && events_.now() >= node->frozen_until && (node->told || events_.now() >= node->due)) {
                 node->told = false;
-                net::WaitTraits::earliest = wire::to_clock(Seconds(1));
-                node->life->io.restart();
-                node->life->io.poll();
+                net::WaitTraits::earliest = model::to_clock(Seconds(1));
+                node->process->io.restart();
+                node->process->io.poll();
                 node->due = events_.now() + net::WaitTraits::earliest;
             }
         if (!awaited_.empty()) look_at_leaders();
@@ -875,11 +878,11 @@
     for (const auto& j : jobs_) {
         if (!j->accepted) continue;
         const bool counts =
-            j->cancel_after.count() < 0 && events_.now() - j->accepted_at >= wire::to_clock(served_within);
+            j->cancel_after.count() < 0 && events_.now() - j->accepted_at >= model::to_clock(served_within);
         const bool served = checker_.all_done(j->spec.uid) || checker_.ever(j->spec.uid) == j->spec.tasks;
         if (const auto it = greatest.find(j->spec.job_class);
             it != greatest.end() && j->spec.tasks >= large * it->second && j->cancel_after.count() < 0 &&
-            (j->waited || events_.now() - j->accepted_at >= wire::to_clock(largest_within))) {
+            (j->waited || events_.now() - j->accepted_at >= model::to_clock(largest_within))) {
             auto& c = outcome_.classes[j->spec.job_class];
             ++c.largest;
             c.largest_served += j->waited && *j->waited <= largest_within;
@@ -981,4 +984,4 @@
         {"troubles", troubles}});
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/world.hpp
+++ b/src/simulator/simulation.hpp
@@ -2,10 +2,11 @@
 // virtual time, from one seed, with troubles, and a checker that watches the rules from outside.
 #pragma once
 #include "app/controller.hpp"
-#include "emulator/fleet.hpp"
-#include "emulator/state_service.hpp"
+#include "model/job.hpp"
+#include "simulator/fleet.hpp"
+#include "simulator/state_service.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 // What one class or team had of a run.
 struct Served {
@@ -56,10 +57,10 @@
     std::vector<std::string> troubles;
 };
 
-class World {
+class Simulation {
   public:
-    World(const Scenario& scenario, std::uint64_t seed);
-    ~World();
+    Simulation(const Scenario& scenario, std::uint64_t seed);
+    ~Simulation();
     Outcome play();
 
   private:
@@ -67,7 +68,7 @@
     class WorkersLink;
     struct Node;
     struct UserJob {
-        wire::JobSpec spec;
+        model::JobSpec spec;
         TimePoint submitted{}, accepted_at{};
         bool accepted = false, over = false, cancelling = false, done = false, ended = false;
         Seconds cancel_after{-1};
@@ -82,7 +83,7 @@
              std::function<void(unsigned, const std::string&)> done);
     bool reaches(const std::string& zone, std::size_t node) const;
     std::size_t any_node();
-    void tell_peers(std::size_t from, const peer::Beat& beat);
+    void broadcast_status(std::size_t from, const peer::StatusMessage& status);
     bool relay(std::size_t from, const std::string& member, const peer::RelayMessage& message);
     // A message between controllers: it arrives a little later, if nothing is cut.
     bool peers_reach(std::size_t from, std::size_t to) const;
@@ -96,13 +97,13 @@
     void submit_again(const std::shared_ptr<UserJob>& job);
     void ask_of_nobody();
     void again(const std::shared_ptr<UserJob>& job, double unlike);
-    void cancel_now(const Trouble& t);
+    void cancel_now(const Fault& t);
     void look_for_ends();
     void odd_requests(TimePoint until);
     void unsound_job(std::size_t kind);
 
     void draw_troubles();
-    void trouble(const Trouble& t);
+    void trouble(const Fault& t);
     void plan(std::size_t n);
     void draw_pairs();
     void ask_whether_ready(std::size_t n, TimePoint until);
@@ -111,8 +112,8 @@
     void told(const std::string& uid, const std::string& word, TimePoint asked, std::size_t node);
     void look_for_forgotten();
     void look_for_waiting();
-    void loses_data(const Trouble& t);
-    std::vector<std::size_t> nodes_of(const Trouble& t) const;
+    void loses_data(const Fault& t);
+    std::vector<std::size_t> nodes_of(const Fault& t) const;
     void look();
     void look_at_jobs();
     std::string settings_text(std::size_t n) const;
@@ -145,4 +146,4 @@
 // The same for a person.
 std::string to_text(const Outcome& outcome);
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -1,8 +1,8 @@
-#include "emulator/state_service.hpp"
+#include "simulator/state_service.hpp"
 
 #include <algorithm>
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 using namespace std::chrono_literals;
 using state::Outcome;
@@ -14,7 +14,7 @@
 constexpr double safety = 0.9;
 }  // namespace
 
-void Keys::put(const std::string& key, std::optional<state::Item> item) {
+void Keys::put(const std::string& key, std::optional<state::KeyValue> item) {
     const auto it = items_.find(key);
     Logged entry{revision_, events_.now(), key, {}, item};
     if (it != items_.end()) entry.before = it->second;
@@ -36,7 +36,7 @@
             return r;
         }
     for (const auto& c : txn.conditions)
-        if (get(c.key).stamp != c.stamp) r.failed.push_back(c.key);
+        if (get(c.key).mod_revision != c.mod_revision) r.failed.push_back(c.key);
     r.outcome = r.failed.empty() ? Outcome::ok : Outcome::conflict;
     if (!r.failed.empty() || txn.changes.empty()) return r;
     r.revision = ++revision_;
@@ -44,16 +44,16 @@
         attached_.erase(c.key);
         if (c.lease) attached_[c.key] = c.lease;
         if (c.value)
-            put(c.key, state::Item{c.key, *c.value, revision_});
+            put(c.key, state::KeyValue{c.key, *c.value, revision_});
         else if (items_.contains(c.key))
             put(c.key, std::nullopt);
     }
     return r;
 }
 
-state::Item Keys::get(const std::string& key) const {
+state::KeyValue Keys::get(const std::string& key) const {
     const auto it = items_.find(key);
-    return it == items_.end() ? state::Item{key, {}, 0} : it->second;
+    return it == items_.end() ? state::KeyValue{key, {}, 0} : it->second;
 }
 
 state::RangeResult Keys::range(const std::string& prefix, const std::string& after) const {
@@ -71,8 +71,8 @@
     return r;
 }
 
-state::FollowResult Keys::changes(const std::string& prefix, std::uint64_t from) const {
-    state::FollowResult r;
+state::WatchResult Keys::changes(const std::string& prefix, std::uint64_t from) const {
+    state::WatchResult r;
     r.outcome = Outcome::ok;
     r.revision = revision_;
     if (log_.size() >= kept_changes && from < log_.front().revision) {
@@ -83,14 +83,14 @@
                                     [](std::uint64_t n, const Logged&e) { return n < e.revision; });
          it != log_.end(); ++it) {
         if (!it->key.starts_with(prefix)) continue;
-        r.events.push_back(it->now ? *it->now : state::Item{it->key, {}, it->revision});
+        r.events.push_back(it->now ? *it->now : state::KeyValue{it->key, {}, it->revision});
         r.deleted.push_back(!it->now);
     }
     return r;
 }
 
-std::uint64_t Keys::grant(Seconds life) {
-    leases_[++last_lease_] = {life, events_.now() + wire::to_clock(life)};
+std::uint64_t Keys::grant(Seconds ttl) {
+    leases_[++last_lease_] = {ttl, events_.now() + model::to_clock(ttl)};
     return last_lease_;
 }
 
@@ -98,7 +98,7 @@
     expire();
     const auto it = leases_.find(lease);
     if (it == leases_.end()) return false;
-    it->second.ends = events_.now() + wire::to_clock(it->second.life);
+    it->second.ends = events_.now() + model::to_clock(it->second.ttl);
     return true;
 }
 
@@ -121,7 +121,7 @@
 }
 
 void Keys::prolong() {
-    for (auto& [id, lease] : leases_) lease.ends = events_.now() + wire::to_clock(lease.life);
+    for (auto& [id, lease] : leases_) lease.ends = events_.now() + model::to_clock(lease.ttl);
 }
 
 void Keys::end_all() {
@@ -138,7 +138,7 @@
 }
 
 void Keys::set_back(Seconds by) {
-    const auto until = events_.now() - wire::to_clock(by);
+    const auto until = events_.now() - model::to_clock(by);
     while (!log_.empty() && log_.back().at > until) {
         const auto& e = log_.back();
         if (e.before)
@@ -163,7 +163,7 @@
     for (auto it = log_.rbegin(); it != log_.rend() && n < most; ++it) {
         const auto item = items_.find(it->key);
         if (!it->key.starts_with(prefix) || !it->before || item == items_.end()) continue;
-        if (item->second.stamp != it->revision) continue;
+        if (item->second.mod_revision != it->revision) continue;
         item->second = *it->before;
         ++n;
     }
@@ -185,7 +185,7 @@
       keys_(keys),
       limits_(limits),
       nodes_(static_cast<double>(nodes)),
-      gate_(ex, state::Budget(limits.rps * safety / nodes_, limits.write_rps * safety / nodes_, events.now())) {
+      limiter_(ex, state::TokenBucket(limits.rps * safety / nodes_, limits.write_rps * safety / nodes_, events.now())) {
     set_leading(false);
 }
 
@@ -193,17 +193,17 @@
 void StateLink::set_leading(bool leading) {
     const double others = std::max(1.0, nodes_ - 1);
     const double share = nodes_ < 2 ? 1 : leading ? 0.6 : 0.4 / others;
-    gate_.budget().set_rates(limits_.rps * safety * share, limits_.write_rps * safety *
-                                                               (nodes_ < 2 ? 1
-                                                                : leading  ? 0.5
-                                                                           : 0.5 / others));
+    limiter_.bucket().set_rates(limits_.rps * safety * share, limits_.write_rps * safety *
+                                                                  (nodes_ < 2 ? 1
+                                                                   : leading  ? 0.5
+                                                                              : 0.5 / others));
 }
 
-bool StateLink::healthy(wire::TimePoint now) const { return good_ >= bad_ || now - good_ < 2s; }
+bool StateLink::healthy(model::TimePoint now) const { return good_ >= bad_ || now - good_ < 2s; }
 
-net::awaitable<bool> StateLink::reach(double writes, state::Urgency urgency, Outcome& seen) {
-    co_await gate_.enter(writes, urgency);
-    co_await net::sleep_for(wire::to_clock(Seconds(events_.uniform(0.001, 0.008))));
+net::awaitable<bool> StateLink::reach(double writes, state::RequestPriority priority, Outcome& seen) {
+    co_await limiter_.enter(writes, priority);
+    co_await net::sleep_for(model::to_clock(Seconds(events_.uniform(0.001, 0.008))));
     co_await dawdle();
     if (cut) {
         co_await net::sleep_for(no_answer);
@@ -220,18 +220,18 @@
 }
 
 net::awaitable<void> StateLink::back() {
-    co_await net::sleep_for(wire::to_clock(Seconds(events_.uniform(0.001, 0.004))));
+    co_await net::sleep_for(model::to_clock(Seconds(events_.uniform(0.001, 0.004))));
     co_await dawdle();
 }
 
 // Requests and answers overtake one another: what was asked first may be answered last, from what was there long since.
 net::awaitable<void> StateLink::dawdle() {
-    if (slow > 0 && events_.chance(slow)) co_await net::sleep_for(wire::to_clock(slowest * events_.uniform(0.1, 1)));
+    if (slow > 0 && events_.chance(slow)) co_await net::sleep_for(model::to_clock(slowest * events_.uniform(0.1, 1)));
 }
 
-net::awaitable<state::GetResult> StateLink::get(std::string key, state::Urgency urgency) {
+net::awaitable<state::GetResult> StateLink::get(std::string key, state::RequestPriority priority) {
     state::GetResult r;
-    const bool there = co_await reach(0, urgency, r.outcome);
+    const bool there = co_await reach(0, priority, r.outcome);
     if (there) {
         r.outcome = Outcome::ok;
         r.item = keys_.get(key);
@@ -240,9 +240,10 @@
     co_return r;
 }
 
-net::awaitable<state::RangeResult> StateLink::range(std::string prefix, std::string after, state::Urgency urgency) {
+net::awaitable<state::RangeResult> StateLink::range(std::string prefix, std::string after,
+                                                    state::RequestPriority priority) {
     state::RangeResult r;
-    const bool there = co_await reach(0, urgency, r.outcome);
+    const bool there = co_await reach(0, priority, r.outcome);
     if (there) {
         r = keys_.range(prefix, after);
         co_await back();
@@ -250,9 +251,9 @@
     co_return r;
 }
 
-net::awaitable<state::TxnResult> StateLink::commit(state::Txn txn, state::Urgency urgency) {
+net::awaitable<state::TxnResult> StateLink::commit(state::Txn txn, state::RequestPriority priority) {
     state::TxnResult r;
-    const bool there = co_await reach(static_cast<double>(txn.changes.size()), urgency, r.outcome);
+    const bool there = co_await reach(static_cast<double>(txn.changes.size()), priority, r.outcome);
     if (!there) co_return r;
     const bool held = late > 0 && events_.chance(late);
     if (held || (late_now && *late_now > 0 && events_.chance(*late_now))) {
@@ -268,10 +269,10 @@
     co_return r;
 }
 
-net::awaitable<state::FollowResult> StateLink::follow(std::string prefix, std::uint64_t from,
-                                                      std::chrono::milliseconds hold) {
-    state::FollowResult r;
-    const bool there = co_await reach(0, state::Urgency::leadership, r.outcome);
+net::awaitable<state::WatchResult> StateLink::watch(std::string prefix, std::uint64_t from,
+                                                    std::chrono::milliseconds hold) {
+    state::WatchResult r;
+    const bool there = co_await reach(0, state::RequestPriority::leadership, r.outcome);
     if (!there) co_return r;
     const auto until = events_.now() + hold;
     for (;;) {
@@ -289,12 +290,12 @@
     co_return r;
 }
 
-net::awaitable<state::LeaseResult> StateLink::grant(std::chrono::milliseconds life) {
+net::awaitable<state::LeaseResult> StateLink::grant(std::chrono::milliseconds ttl) {
     state::LeaseResult r;
-    const bool there = co_await reach(0, state::Urgency::leadership, r.outcome);
+    const bool there = co_await reach(0, state::RequestPriority::leadership, r.outcome);
     if (there) {
         r.outcome = Outcome::ok;
-        r.lease = keys_.grant(life);
+        r.lease = keys_.grant(ttl);
         co_await back();
     }
     co_return r;
@@ -302,7 +303,7 @@
 
 net::awaitable<Outcome> StateLink::renew(std::uint64_t lease) {
     auto seen = Outcome::unknown;
-    const bool there = co_await reach(0, state::Urgency::leadership, seen);
+    const bool there = co_await reach(0, state::RequestPriority::leadership, seen);
     if (!there) co_return seen;
     const bool alive = keys_.renew(lease);
     co_await back();
@@ -311,8 +312,8 @@
 
 net::awaitable<void> StateLink::revoke(std::uint64_t lease) {
     auto seen = Outcome::unknown;
-    const bool there = co_await reach(0, state::Urgency::bookkeeping, seen);
+    const bool there = co_await reach(0, state::RequestPriority::bookkeeping, seen);
     if (there) keys_.revoke(lease);
 }
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/emulator/state_service.hpp
+++ b/src/simulator/state_service.hpp
@@ -4,11 +4,12 @@
 #include <map>
 
 #include "config/settings.hpp"
-#include "emulator/events.hpp"
-#include "state/gate.hpp"
+#include "model/clock.hpp"
+#include "simulator/events.hpp"
+#include "state/request_limiter.hpp"
 #include "state/store.hpp"
 
-namespace flintdale::emulator {
+namespace flintdale::simulator {
 
 // The keys, their history and the leases.
 class Keys {
@@ -16,11 +17,11 @@
     explicit Keys(Events& events) : events_(events) {}
 
     state::TxnResult commit(const state::Txn& txn);
-    state::Item get(const std::string& key) const;
+    state::KeyValue get(const std::string& key) const;
     state::RangeResult range(const std::string& prefix, const std::string& after) const;
     // The changes after that revision; `too_old` where not all are kept.
-    state::FollowResult changes(const std::string& prefix, std::uint64_t from) const;
-    std::uint64_t grant(Seconds life);
+    state::WatchResult changes(const std::string& prefix, std::uint64_t from) const;
+    std::uint64_t grant(Seconds ttl);
     bool renew(std::uint64_t lease);
     void revoke(std::uint64_t lease);
     void expire();   // leases that have run out, and their keys
@@ -37,19 +38,19 @@
 
   private:
     struct Lease {
-        Seconds life{0};
+        Seconds ttl{0};
         TimePoint ends{};
     };
     struct Logged {
         std::uint64_t revision;
         TimePoint at;
         std::string key;
-        std::optional<state::Item> before, now;
+        std::optional<state::KeyValue> before, now;
     };
-    void put(const std::string& key, std::optional<state::Item> item);
+    void put(const std::string& key, std::optional<state::KeyValue> item);
 
     Events& events_;
-    std::map<std::string, state::Item> items_;
+    std::map<std::string, state::KeyValue> items_;
     std::map<std::string, std::uint64_t> attached_;  // key -> lease
     std::map<std::uint64_t, Lease> leases_;
     std::deque<Logged> log_;
@@ -69,24 +70,25 @@
     double slow = 0;  // share of requests that wait on their way there, and of answers that wait on their way back
     Seconds slowest{1};
 
-    net::awaitable<state::GetResult> get(std::string key, state::Urgency urgency) override;
-    net::awaitable<state::RangeResult> range(std::string prefix, std::string after, state::Urgency urgency) override;
-    net::awaitable<state::TxnResult> commit(state::Txn txn, state::Urgency urgency) override;
-    net::awaitable<state::FollowResult> follow(std::string prefix, std::uint64_t from,
-                                               std::chrono::milliseconds hold) override;
-    net::awaitable<state::LeaseResult> grant(std::chrono::milliseconds life) override;
+    net::awaitable<state::GetResult> get(std::string key, state::RequestPriority priority) override;
+    net::awaitable<state::RangeResult> range(std::string prefix, std::string after,
+                                             state::RequestPriority priority) override;
+    net::awaitable<state::TxnResult> commit(state::Txn txn, state::RequestPriority priority) override;
+    net::awaitable<state::WatchResult> watch(std::string prefix, std::uint64_t from,
+                                             std::chrono::milliseconds hold) override;
+    net::awaitable<state::LeaseResult> grant(std::chrono::milliseconds ttl) override;
     net::awaitable<state::Outcome> renew(std::uint64_t lease) override;
     net::awaitable<void> revoke(std::uint64_t lease) override;
-    std::size_t write_portion() const override { return gate_.write_portion(); }
-    std::chrono::duration<double> write_wait() const override { return gate_.write_wait(); }
+    std::size_t write_portion() const override { return limiter_.write_portion(); }
+    std::chrono::duration<double> write_wait() const override { return limiter_.write_wait(); }
     void set_leading(bool leading) override;
-    double take_write_demand() override { return gate_.take_demand(); }
+    double take_write_demand() override { return limiter_.take_demand(); }
     void set_write_demand(double, double) override {}
-    bool healthy(wire::TimePoint now) const override;
+    bool healthy(model::TimePoint now) const override;
 
   private:
     // The way there: false if the request does not arrive, with what its sender sees.
-    net::awaitable<bool> reach(double writes, state::Urgency urgency, state::Outcome& seen);
+    net::awaitable<bool> reach(double writes, state::RequestPriority priority, state::Outcome& seen);
     net::awaitable<void> back();
     net::awaitable<void> dawdle();
 
@@ -94,8 +96,8 @@
     Keys& keys_;
     config::StateLimits limits_;
     double nodes_;
-    state::Gate gate_;
-    wire::TimePoint good_{}, bad_{};
+    state::RequestLimiter limiter_;
+    model::TimePoint good_{}, bad_{};
 };
 
-}  // namespace flintdale::emulator
+}  // namespace flintdale::simulator
--- a/src/state/generation_marker.cpp
+++ b/src/state/generation_marker.cpp
@@ -41,8 +41,8 @@
     return o;
 }
 
-std::optional<GenerationMarker> parse_marker(const Item& item) {
-    if (!item.stamp || !item.value.is_object()) return std::nullopt;
+std::optional<GenerationMarker> parse_marker(const KeyValue& item) {
+    if (!item.mod_revision || !item.value.is_object()) return std::nullopt;
     const auto& o = item.value.get_object();
     GenerationMarker w;
     w.generation = number(o, "generation");
@@ -51,7 +51,7 @@
     w.of = text(o, "of");
     w.term = number(o, "term");
     w.remembers = number(o, "remembers");
-    w.stamp = item.stamp;
+    w.mod_revision = item.mod_revision;
     w.beyond_memory = flag(o, "beyond_memory");
     w.keys_only = flag(o, "keys_only");
     if (const auto* missing = o.if_contains("missing"); missing && missing->is_array())
--- a/src/state/generation_marker.hpp
+++ b/src/state/generation_marker.hpp
@@ -29,13 +29,13 @@
     std::vector<std::uint64_t> rebuilders;  // terms that have rebuilt: none of them has placed anything
     bool keys_only = false;                 // only records are gone that were remembered; the history itself went on
     std::vector<std::string> missing;       // whole: controllers that could not be asked when it was rebuilt
-    std::uint64_t stamp = 0;                // of the key, once it is on record
+    std::uint64_t mod_revision = 0;         // of the key, once it is on record
 
     bool whole() const { return phase == Phase::whole; }
 };
 
 boost::json::object marker_record(const GenerationMarker& marker);
 // Nothing if the key is absent or is no marker.
-std::optional<GenerationMarker> parse_marker(const Item& item);
+std::optional<GenerationMarker> parse_marker(const KeyValue& item);
 
 }  // namespace flintdale::state
--- a/src/state/guarded_store.cpp
+++ b/src/state/guarded_store.cpp
@@ -9,16 +9,16 @@
 GuardedStore::GuardedStore(Store& inner, std::string guarded_prefix, Events events)
     : inner_(inner), prefix_(std::move(guarded_prefix)), events_(std::move(events)) {}
 
-void GuardedStore::open(std::uint64_t marker_stamp) {
-    if (marker_stamp == marker_stamp_) return;
-    marker_stamp_ = marker_stamp;
-    newest_ = marker_stamp;
+void GuardedStore::open(std::uint64_t marker_revision) {
+    if (marker_revision == marker_revision_) return;
+    marker_revision_ = marker_revision;
+    newest_ = marker_revision;
     ++opening_;
 }
 
 void GuardedStore::close() {
-    if (!marker_stamp_) return;
-    marker_stamp_ = 0;
+    if (!marker_revision_) return;
+    marker_revision_ = 0;
     ++opening_;
 }
 
@@ -48,7 +48,7 @@
     return true;
 }
 
-awaitable<GetResult> GuardedStore::get(std::string key, Urgency urgency) {
+awaitable<GetResult> GuardedStore::get(std::string key, RequestPriority priority) {
     GetResult r;
     const bool guarded = key.starts_with(prefix_);
     if (guarded && !is_open()) {
@@ -57,7 +57,7 @@
     }
     const auto sent = opening_;
     const auto known = guarded ? remembered(key) : 0;
-    r = co_await inner_.get(std::move(key), urgency);
+    r = co_await inner_.get(std::move(key), priority);
     // What was written just after a loss must not be told as an answer, not even by reading it again.
     if (guarded && sent != opening_) r.outcome = Outcome::unknown;
     if (r.outcome == Outcome::ok && missing(r.item, known)) r.outcome = Outcome::refused;
@@ -65,8 +65,8 @@
 }
 
 // An older value, or none though nothing else explains that.
-bool GuardedStore::missing(const Item& item, std::uint64_t known) {
-    if (item.stamp >= known || (!item.stamp && !events_.explained_by(item.key).empty())) return false;
+bool GuardedStore::missing(const KeyValue& item, std::uint64_t known) {
+    if (item.mod_revision >= known || (!item.mod_revision && !events_.explained_by(item.key).empty())) return false;
     events_.missed(item.key);
     return true;
 }
@@ -74,14 +74,14 @@
 std::vector<std::string> GuardedStore::impossible(const Txn& txn) const {
     std::vector<std::string> out;
     for (const auto& c : txn.conditions)
-        if (c.stamp == 0 && c.key.starts_with(prefix_) && remembered(c.key)) out.push_back(c.key);
+        if (c.mod_revision == 0 && c.key.starts_with(prefix_) && remembered(c.key)) out.push_back(c.key);
     return out;
 }
 
-awaitable<RangeResult> GuardedStore::range(std::string prefix, std::string after, Urgency urgency) {
+awaitable<RangeResult> GuardedStore::range(std::string prefix, std::string after, RequestPriority priority) {
     const bool guarded = prefix.starts_with(prefix_);
     const auto sent = now();
-    auto r = co_await inner_.range(std::move(prefix), std::move(after), urgency);
+    auto r = co_await inner_.range(std::move(prefix), std::move(after), priority);
     if (r.outcome == Outcome::ok && !sound(sent, r.revision) && guarded) r.outcome = Outcome::unknown;
     if (r.outcome != Outcome::ok || !guarded) co_return r;
     // What has a stamp beyond the revision that had been seen may have been written while this was under way.
@@ -91,15 +91,15 @@
     co_return r;
 }
 
-awaitable<FollowResult> GuardedStore::follow(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
+awaitable<WatchResult> GuardedStore::watch(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
     const bool guarded = prefix.starts_with(prefix_);
     const auto sent = now();
-    auto r = co_await inner_.follow(std::move(prefix), from, hold);
+    auto r = co_await inner_.watch(std::move(prefix), from, hold);
     if (r.outcome == Outcome::ok && !sound(sent, r.revision) && guarded) r.outcome = Outcome::unknown;
     co_return r;
 }
 
-awaitable<TxnResult> GuardedStore::commit(Txn txn, Urgency urgency) {
+awaitable<TxnResult> GuardedStore::commit(Txn txn, RequestPriority priority) {
     TxnResult r;
     const bool guarded = is_guarded(txn);
     if (guarded && !is_open()) {
@@ -118,12 +118,12 @@
     if (guarded) {
         Condition marker;
         marker.key = marker_key;
-        marker.stamp = marker_stamp_;
+        marker.mod_revision = marker_revision_;
         txn.conditions.push_back(std::move(marker));
         changes = txn.changes;
     }
     const auto conditions = expected.empty() ? std::vector<Condition>() : txn.conditions;
-    r = co_await inner_.commit(std::move(txn), urgency);
+    r = co_await inner_.commit(std::move(txn), priority);
     if (r.outcome != Outcome::ok && r.outcome != Outcome::conflict) co_return r;
     const bool other =
         r.outcome == Outcome::conflict && std::find(r.failed.begin(), r.failed.end(), marker_key) != r.failed.end();
@@ -146,7 +146,7 @@
             if (!held(key)) continue;
             const auto other = events_.explained_by(key);
             const bool beside = std::any_of(conditions.begin(), conditions.end(),
-                                            [&](const auto& c) { return c.key == other && c.stamp == 0; });
+                                            [&](const auto& c) { return c.key == other && c.mod_revision == 0; });
             if (!other.empty() && !(beside && held(other))) continue;
             events_.missed(key);
             missed = true;
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using wire::Clock;
+using model::Clock;
 constexpr std::chrono::milliseconds request_limit{1500};
 constexpr double safety = 0.9;  // of the published limits: the clocks and the buckets do not agree exactly
 constexpr double leader_share = 0.6;
@@ -39,11 +39,11 @@
     return v && v->is_string() ? std::string(v->get_string()) : std::string();
 }
 
-Item item_of(const json::object& o) {
-    Item item;
+KeyValue item_of(const json::object& o) {
+    KeyValue item;
     item.key = text(o, "key");
     if (const auto* v = o.if_contains("v")) item.value = *v;
-    item.stamp = number(o, "stamp");
+    item.mod_revision = number(o, "stamp");
     return item;
 }
 
@@ -57,13 +57,13 @@
 
 }  // namespace
 
-HttpStore::HttpStore(net::Executor ex, const config::Settings& s, Form& form)
-    : form_(form),
+HttpStore::HttpStore(net::Executor ex, const config::Settings& s, RecordFormat& record_format)
+    : record_format_(record_format),
       nodes_(std::max<std::size_t>(1, s.nodes)),
       http_(ex, s.state.host, s.state.port, 8),
       watches_(ex, s.state.host, s.state.port, 4),
-      gate_(ex, Budget(s.limits.rps * safety / static_cast<double>(nodes_),
-                       s.limits.write_rps * safety / static_cast<double>(nodes_), Clock::now())),
+      limiter_(ex, TokenBucket(s.limits.rps * safety / static_cast<double>(nodes_),
+                               s.limits.write_rps * safety / static_cast<double>(nodes_), Clock::now())),
       demand_share_(1.0 / static_cast<double>(nodes_)) {
     set_rates();
 }
@@ -82,10 +82,10 @@
     const double others = nodes_ > 1 ? static_cast<double>(nodes_ - 1) : 1.0;
     const double share = nodes_ == 1 ? 1.0 : leading_ ? leader_share : (1.0 - leader_share) / others;
     const double writes = nodes_ == 1 ? 1.0 : share * (1.0 - by_demand) + demand_share_ * by_demand;
-    const auto& limits = form_.limits();
+    const auto& limits = record_format_.limits();
     // All controllers together borrow less than the second's burst that the service allows.
-    gate_.budget().set_borrowing(limits.write_rps * safety * borrowed / static_cast<double>(nodes_));
-    gate_.budget().set_rates(limits.rps * safety * share, limits.write_rps * safety * writes);
+    limiter_.bucket().set_borrowing(limits.write_rps * safety * borrowed / static_cast<double>(nodes_));
+    limiter_.bucket().set_rates(limits.rps * safety * share, limits.write_rps * safety * writes);
 }
 
 bool HttpStore::healthy(Clock::time_point now) const {
@@ -93,8 +93,8 @@
 }
 
 awaitable<net::HttpAnswer> HttpStore::call(net::http::verb verb, std::string target, std::string body, double writes,
-                                           Urgency urgency, Clock::duration limit) {
-    co_await gate_.enter(writes, urgency);
+                                           RequestPriority priority, Clock::duration limit) {
+    co_await limiter_.enter(writes, priority);
     auto answer = co_await http_.request(verb, std::move(target), std::move(body), limit);
     if (answer.never_sent) answer.status = 503;  // without a connection nothing can have been carried out
     if (answer.status == 0 || answer.status == 503)
@@ -104,9 +104,9 @@
     co_return answer;
 }
 
-awaitable<GetResult> HttpStore::get(std::string key, Urgency urgency) {
+awaitable<GetResult> HttpStore::get(std::string key, RequestPriority priority) {
     std::string target = "/kv/" + key;
-    auto answer = co_await call(net::http::verb::get, std::move(target), std::string(), 0, urgency, request_limit);
+    auto answer = co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_limit);
     GetResult r;
     if (answer.status == 404) {
         r.outcome = Outcome::ok;
@@ -123,10 +123,10 @@
     co_return r;
 }
 
-awaitable<RangeResult> HttpStore::range(std::string prefix, std::string after, Urgency urgency) {
+awaitable<RangeResult> HttpStore::range(std::string prefix, std::string after, RequestPriority priority) {
     std::string target = "/kv?starts=" + prefix + "&page=500";
     if (!after.empty()) target += "&from=" + after;
-    auto answer = co_await call(net::http::verb::get, std::move(target), std::string(), 0, urgency, request_limit * 2);
+    auto answer = co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_limit * 2);
     RangeResult r;
     r.outcome = outcome_of(answer.status);
     if (r.outcome != Outcome::ok) co_return r;
@@ -144,15 +144,15 @@
     co_return r;
 }
 
-awaitable<TxnResult> HttpStore::commit(Txn txn, Urgency urgency) {
+awaitable<TxnResult> HttpStore::commit(Txn txn, RequestPriority priority) {
     std::size_t largest = 0;
     json::array conditions, changes;
-    for (const auto& c : txn.conditions) conditions.push_back(json::object{{"key", c.key}, {"stamp", c.stamp}});
+    for (const auto& c : txn.conditions) conditions.push_back(json::object{{"key", c.key}, {"stamp", c.mod_revision}});
     for (auto& c : txn.changes) {
         json::object change;
         if (c.value) {
             change["write"] = c.key;
-            if (!form_.newest()) largest = std::max(largest, Form::size_of(*c.value));
+            if (!record_format_.newest()) largest = std::max(largest, RecordFormat::size_of(*c.value));
             change["v"] = std::move(*c.value);
             if (c.lease) change["permit"] = c.lease;
         } else {
@@ -166,7 +166,7 @@
     std::string target = "/multi";
     auto text_body = json::serialize(body);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(text_body),
-                                static_cast<double>(txn.changes.size()), urgency, request_limit);
+                                static_cast<double>(txn.changes.size()), priority, request_limit);
     TxnResult r;
     r.outcome = outcome_of(answer.status);
     auto o = object_of(answer.body);
@@ -177,8 +177,8 @@
         if (r.outcome == Outcome::too_large) {
             spdlog::info("event=txn_rejected changes={} conditions={} body={}", txn.changes.size(),
                          txn.conditions.size(), answer.body);
-            if (form_.refused(largest, txn.changes.size(), txn.conditions.size())) {
-                spdlog::info("event=limits_lowered format={} why=\"a size was refused\"", form_.format());
+            if (record_format_.refused(largest, txn.changes.size(), txn.conditions.size())) {
+                spdlog::info("event=limits_lowered format={} why=\"a size was refused\"", record_format_.format());
                 set_rates();
             }
         }
@@ -197,13 +197,13 @@
     co_return r;
 }
 
-awaitable<FollowResult> HttpStore::follow(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
-    co_await gate_.enter(0, Urgency::leadership);
+awaitable<WatchResult> HttpStore::watch(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
+    co_await limiter_.enter(0, RequestPriority::leadership);
     std::string target =
         "/follow?starts=" + prefix + "&from=" + std::to_string(from) + "&hold_ms=" + std::to_string(hold.count());
     auto answer =
         co_await watches_.request(net::http::verb::get, std::move(target), std::string(), hold + request_limit);
-    FollowResult r;
+    WatchResult r;
     if (answer.never_sent) answer.status = 503;
     r.outcome = outcome_of(answer.status);
     if (r.outcome != Outcome::ok) co_return r;
@@ -218,22 +218,22 @@
         for (const auto& v : events->get_array()) {
             if (!v.is_object()) continue;
             const auto& e = v.get_object();
-            Item item;
+            KeyValue item;
             const bool deleted = e.if_contains("delete") != nullptr;
             item.key = deleted ? text(e, "delete") : text(e, "write");
             if (const auto* value = e.if_contains("v")) item.value = *value;
-            item.stamp = number(e, "stamp");
+            item.mod_revision = number(e, "stamp");
             r.events.push_back(std::move(item));
             r.deleted.push_back(deleted);
         }
     co_return r;
 }
 
-awaitable<LeaseResult> HttpStore::grant(std::chrono::milliseconds life) {
+awaitable<LeaseResult> HttpStore::grant(std::chrono::milliseconds ttl) {
     std::string target = "/grants";
-    auto body = json::serialize(json::object{{"life_ms", life.count()}});
-    auto answer =
-        co_await call(net::http::verb::post, std::move(target), std::move(body), 0, Urgency::leadership, request_limit);
+    auto body = json::serialize(json::object{{"life_ms", ttl.count()}});
+    auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body), 0,
+                                RequestPriority::leadership, request_limit);
     LeaseResult r;
     r.outcome = outcome_of(answer.status);
     if (r.outcome == Outcome::ok) {
@@ -245,14 +245,15 @@
 
 awaitable<Outcome> HttpStore::renew(std::uint64_t lease) {
     std::string target = "/grants/" + std::to_string(lease) + "/renew";
-    auto answer = co_await call(net::http::verb::post, std::move(target), std::string(), 0, Urgency::leadership,
+    auto answer = co_await call(net::http::verb::post, std::move(target), std::string(), 0, RequestPriority::leadership,
                                 std::chrono::milliseconds(800));
     co_return answer.status == 404 ? Outcome::no_lease : outcome_of(answer.status);
 }
 
 awaitable<void> HttpStore::revoke(std::uint64_t lease) {
     std::string target = "/grants/" + std::to_string(lease);
-    co_await call(net::http::verb::delete_, std::move(target), std::string(), 0, Urgency::bookkeeping, request_limit);
+    co_await call(net::http::verb::delete_, std::move(target), std::string(), 0, RequestPriority::bookkeeping,
+                  request_limit);
 }
 
 }  // namespace flintdale::state
--- a/src/state/form.hpp
+++ b/src/state/record_format.hpp
@@ -14,9 +14,9 @@
 //      outcomes without the submission
 inline constexpr std::uint64_t oldest_format = 1, newest_format = 2;
 
-class Form {
+class RecordFormat {
   public:
-    explicit Form(const config::Settings& settings)
+    explicit RecordFormat(const config::Settings& settings)
         : limits_(settings.limits), next_(settings.next_limits.value_or(settings.limits)) {}
 
     // Every controller reads the newest format.
--- a/src/state/gate.hpp
+++ b/src/state/request_limiter.hpp
@@ -4,16 +4,17 @@
 #include <deque>
 #include <memory>
 
-#include "state/budget.hpp"
+#include "model/clock.hpp"
+#include "state/token_bucket.hpp"
 
 namespace flintdale::state {
 
-class Gate {
+class RequestLimiter {
   public:
-    Gate(net::Executor ex, Budget budget);
+    RequestLimiter(net::Executor ex, TokenBucket bucket);
 
     // Returns once the request may be sent.
-    awaitable<void> enter(double writes, Urgency urgency);
+    awaitable<void> enter(double writes, RequestPriority priority);
 
     // How many writes a transaction that is not urgent should hold.
     std::size_t write_portion() const;
@@ -24,16 +25,16 @@
     // Writes that were asked for since the last call, what still waits included.
     double take_demand();
 
-    Budget& budget() { return budget_; }
+    TokenBucket& bucket() { return budget_; }
 
   private:
     struct Waiter {
-        Waiter(net::Executor ex, double w, Urgency u) : admitted(ex), writes(w), urgency(u) {}
+        Waiter(net::Executor ex, double w, RequestPriority u) : admitted(ex), writes(w), priority(u) {}
         net::Timer admitted;
         double writes;
-        Urgency urgency;
+        RequestPriority priority;
         bool in = false;
-        wire::Clock::time_point since{};
+        model::Clock::time_point since{};
     };
     using Queue = std::deque<std::shared_ptr<Waiter>>;
     // Reads and writes wait apart: the limit on writes is the scarcer, and must not hold up a read.
@@ -44,10 +45,10 @@
         bool pumping = false;
     };
     awaitable<void> pump(Lane& lane);
-    static Queue* next(Lane& lane, wire::Clock::time_point now);
+    static Queue* next(Lane& lane, model::Clock::time_point now);
 
     net::Executor ex_;
-    Budget budget_;
+    TokenBucket budget_;
     Lane reads_, writes_;
     double waiting_writes_ = 0, admitted_writes_ = 0;
 };
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "model/clock.hpp"
 #include "net/asio.hpp"
 
 namespace flintdale::state {
@@ -22,15 +23,15 @@
     unknown,    // no answer: may have been carried out, or may still be
 };
 
-struct Item {
+struct KeyValue {
     std::string key;
     json::value value;
-    std::uint64_t stamp = 0;  // 0: absent
+    std::uint64_t mod_revision = 0;  // 0: absent
 };
 
 struct Condition {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 
 struct Change {
@@ -52,19 +53,19 @@
 
 struct GetResult {
     Outcome outcome = Outcome::unknown;
-    Item item;
+    KeyValue item;
 };
 
 struct RangeResult {
     Outcome outcome = Outcome::unknown;
-    std::vector<Item> items;
+    std::vector<KeyValue> items;
     bool more = false;
     std::uint64_t revision = 0;
 };
 
-struct FollowResult {
+struct WatchResult {
     Outcome outcome = Outcome::unknown;
-    std::vector<Item> events;  // stamp of a deletion is kept, its value is null
+    std::vector<KeyValue> events;  // stamp of a deletion is kept, its value is null
     std::vector<bool> deleted;
     std::uint64_t revision = 0;
 };
@@ -75,16 +76,16 @@
 };
 
 // What must not wait behind what.
-enum class Urgency : std::uint8_t { leadership, user, bookkeeping, leftover };
+enum class RequestPriority : std::uint8_t { leadership, user, bookkeeping, garbage_collection };
 
 class Store {
   public:
     virtual ~Store() = default;
-    virtual awaitable<GetResult> get(std::string key, Urgency urgency) = 0;
-    virtual awaitable<RangeResult> range(std::string prefix, std::string after, Urgency urgency) = 0;
-    virtual awaitable<TxnResult> commit(Txn txn, Urgency urgency) = 0;
-    virtual awaitable<FollowResult> follow(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) = 0;
-    virtual awaitable<LeaseResult> grant(std::chrono::milliseconds life) = 0;
+    virtual awaitable<GetResult> get(std::string key, RequestPriority priority) = 0;
+    virtual awaitable<RangeResult> range(std::string prefix, std::string after, RequestPriority priority) = 0;
+    virtual awaitable<TxnResult> commit(Txn txn, RequestPriority priority) = 0;
+    virtual awaitable<WatchResult> watch(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) = 0;
+    virtual awaitable<LeaseResult> grant(std::chrono::milliseconds ttl) = 0;
     virtual awaitable<Outcome> renew(std::uint64_t lease) = 0;
     virtual awaitable<void> revoke(std::uint64_t lease) = 0;
     // How many writes to put into one transaction, so that others need not wait long behind it.
@@ -101,7 +102,7 @@
     virtual double take_write_demand() = 0;
     virtual void set_write_demand(double own, double all) = 0;
     // Whether the service answered this controller lately.
-    virtual bool healthy(wire::TimePoint now) const = 0;
+    virtual bool healthy(model::TimePoint now) const = 0;
 };
 
 }  // namespace flintdale::state
