--- a/src/state/budget.hpp
+++ b/src/state/token_bucket.hpp
@@ -2,16 +2,17 @@
 #pragma once
 #include <algorithm>
 
+#include "model/clock.hpp"
 #include "state/store.hpp"
 
 namespace flintdale::state {
 
 // Two token buckets of one second's worth. Less urgent callers leave a reserve for the more urgent ones.
-class Budget {
+class TokenBucket {
   public:
-    using TimePoint = wire::Clock::time_point;
+    using TimePoint = model::Clock::time_point;
 
-    Budget(double requests_per_s, double writes_per_s, TimePoint now) : last_(now) {
+    TokenBucket(double requests_per_s, double writes_per_s, TimePoint now) : last_(now) {
         set_rates(requests_per_s, writes_per_s);
         requests_ = request_rate_;
         writes_ = write_rate_;
@@ -30,17 +31,17 @@
     double write_rate() const { return write_rate_; }
 
     // Takes and returns zero, or returns how long to wait before asking again.
-    std::chrono::duration<double> take(double writes, Urgency urgency, TimePoint now) {
+    std::chrono::duration<double> take(double writes, RequestPriority priority, TimePoint now) {
         const double passed = std::chrono::duration<double>(now - last_).count();
         last_ = now;
         requests_ = std::min(request_rate_, requests_ + passed * request_rate_);
         writes_ = std::min(write_rate_, writes_ + passed * write_rate_);
         constexpr double reserve[] = {0.0, 0.1, 0.3, 0.8};  // of a second's worth, by urgency
-        const double kept = reserve[static_cast<std::size_t>(urgency)];
+        const double kept = reserve[static_cast<std::size_t>(priority)];
         // A transaction may hold more writes than a whole second's share: let it run the bucket into debt. A user's
         // write may borrow as well: submissions come in twos and threes, and a small share refills slowly.
-        const double want = urgency == Urgency::user ? std::min(writes, write_rate_) - borrowed_
-                                                     : std::min(writes + kept * write_rate_, write_rate_);
+        const double want = priority == RequestPriority::user ? std::min(writes, write_rate_) - borrowed_
+                                                              : std::min(writes + kept * write_rate_, write_rate_);
         const double short_requests = 1 + kept * request_rate_ - requests_;
         const double short_writes = writes > 0 ? want - writes_ : 0;
         if (short_requests <= 1e-9 && short_writes <= 1e-9) {
--- a/src/wire/archive.cpp
+++ b/src/wire/archive.cpp
@@ -15,14 +15,14 @@
     auto list = message.initRoot<::Archive>().initRecords(static_cast<unsigned>(records.size()));
     for (unsigned i = 0; i < records.size(); ++i) {
         list[i].setKey(records[i].key);
-        list[i].setStamp(records[i].stamp);
+        list[i].setModRevision(records[i].mod_revision);
         list[i].setText(records[i].text);
     }
-    return shrink(message, level);
+    return compress(message, level);
 }
 
 std::vector<ArchivedRecord> decode_archive(std::string_view small) {
-    const auto bytes = grow(small, max_page);
+    const auto bytes = decompress(small, max_page);
     std::vector<ArchivedRecord> out;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
@@ -30,9 +30,9 @@
         options.traversalLimitInWords = max_page;
         capnp::PackedMessageReader message(stream, options);
         for (const auto record : message.getRoot<::Archive>().getRecords())
-            out.push_back({record.getKey().cStr(), record.getStamp(), record.getText().cStr()});
+            out.push_back({record.getKey().cStr(), record.getModRevision(), record.getText().cStr()});
     } catch (const kj::Exception& e) {
-        throw BadBody(std::string("a page cannot be read: ") + e.getDescription().cStr());
+        throw DecodeError(std::string("a page cannot be read: ") + e.getDescription().cStr());
     }
     return out;
 }
--- a/src/wire/archive.hpp
+++ b/src/wire/archive.hpp
@@ -9,13 +9,13 @@
 
 struct ArchivedRecord {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     std::string text;  // the value, JSON
     bool operator==(const ArchivedRecord&) const = default;
 };
 
 std::string encode_archive(std::span<const ArchivedRecord> records);
-// Throws BadBody if the bytes are no whole page.
+// Throws DecodeError if the bytes are no whole page.
 std::vector<ArchivedRecord> decode_archive(std::string_view bytes);
 
 // The same as text without spaces or quotes, for values of the state service.
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -16,27 +16,32 @@
 template <class E, std::size_t N>
 using Names = std::array<std::pair<E, std::string_view>, N>;
 
-constexpr Names<Shape, 3> shapes{{{Shape::array, "array"}, {Shape::gang, "ensemble"}, {Shape::service, "standing"}}};
-constexpr Names<Rank, 4> ranks{
-    {{Rank::critical, "critical"}, {Rank::high, "high"}, {Rank::normal, "normal"}, {Rank::idle, "idle"}}};
-constexpr Names<TaskStatus, 5> statuses{{{TaskStatus::fetching, "pulling"},
-                                         {TaskStatus::waiting, "waiting"},
-                                         {TaskStatus::running, "running"},
-                                         {TaskStatus::saving, "saving"},
-                                         {TaskStatus::exited, "ended"}}};
-constexpr Names<Cause, 8> causes{{{Cause::done, "done"},
-                                  {Cause::stopped, "halted"},
-                                  {Cause::peers, "peers"},
-                                  {Cause::alone, "incomplete"},
-                                  {Cause::error, "error"},
-                                  {Cause::no_room, "full"},
-                                  {Cause::busy, "in_use"},
-                                  {Cause::unknown, "no_such"}}};
-constexpr Names<Verb, 3> verbs{{{Verb::run, "run"}, {Verb::kill, "kill"}, {Verb::clear, "clear"}}};
-constexpr Names<MachineStatus, 3> machine_statuses{
-    {{MachineStatus::booting, "starting"}, {MachineStatus::running, "running"}, {MachineStatus::failed, "failed"}}};
-constexpr Names<JobState, 3> job_states{
-    {{JobState::open, "open"}, {JobState::done, "done"}, {JobState::cancelled, "aborted"}}};
+constexpr Names<model::JobKind, 3> kinds{
+    {{model::JobKind::array, "array"}, {model::JobKind::gang, "ensemble"}, {model::JobKind::service, "standing"}}};
+constexpr Names<model::Priority, 4> priorities{{{model::Priority::critical, "critical"},
+                                                {model::Priority::high, "high"},
+                                                {model::Priority::normal, "normal"},
+                                                {model::Priority::idle, "idle"}}};
+constexpr Names<model::TaskStatus, 5> statuses{{{model::TaskStatus::fetching, "pulling"},
+                                                {model::TaskStatus::waiting, "waiting"},
+                                                {model::TaskStatus::running, "running"},
+                                                {model::TaskStatus::checkpointing, "saving"},
+                                                {model::TaskStatus::exited, "ended"}}};
+constexpr Names<model::ExitReason, 8> exit_reasons{{{model::ExitReason::done, "done"},
+                                                    {model::ExitReason::stopped, "halted"},
+                                                    {model::ExitReason::gang_member_lost, "peers"},
+                                                    {model::ExitReason::gang_incomplete, "incomplete"},
+                                                    {model::ExitReason::error, "error"},
+                                                    {model::ExitReason::insufficient_resources, "full"},
+                                                    {model::ExitReason::conflicting_attempt, "in_use"},
+                                                    {model::ExitReason::unknown_task, "no_such"}}};
+constexpr Names<model::CommandType, 3> command_types{
+    {{model::CommandType::run, "run"}, {model::CommandType::kill, "kill"}, {model::CommandType::clear, "clear"}}};
+constexpr Names<model::MachineStatus, 3> machine_statuses{{{model::MachineStatus::booting, "starting"},
+                                                           {model::MachineStatus::running, "running"},
+                                                           {model::MachineStatus::failed, "failed"}}};
+constexpr Names<model::JobState, 3> job_states{
+    {{model::JobState::open, "open"}, {model::JobState::done, "done"}, {model::JobState::cancelled, "aborted"}}};
 
 template <class E, std::size_t N>
 std::string_view name_of(const Names<E, N>& names, E value) {
@@ -53,7 +58,7 @@
 }
 
 [[noreturn]] void bad(std::string_view field, std::string_view why) {
-    throw BadBody(std::string(field) + ": " + std::string(why));
+    throw DecodeError(std::string(field) + ": " + std::string(why));
 }
 
 const json::value* find(const json::object& o, std::string_view field) {
@@ -140,10 +145,10 @@
     return v.get_object();
 }
 
-TaskId task_id(const std::string& name, std::string_view field) {
+model::TaskId task_id(const std::string& name, std::string_view field) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos || slash + 1 >= name.size() || name.size() - slash > 8) bad(field, "malformed");
-    TaskId id{name.substr(0, slash), 0};
+    model::TaskId id{name.substr(0, slash), 0};
     for (char c : std::string_view(name).substr(slash + 1)) {
         if (c < '0' || c > '9') bad(field, "malformed");
         id.index = id.index * 10 + static_cast<std::uint32_t>(c - '0');
@@ -151,22 +156,22 @@
     return id;
 }
 
-std::string task_name(const TaskId& id) { return id.uid + "/" + std::to_string(id.index); }
+std::string task_name(const model::TaskId& id) { return id.uid + "/" + std::to_string(id.index); }
 
-json::array orders_json(const std::vector<Order>& orders) {
+json::array commands_json(const std::vector<model::Command>& commands) {
     json::array out;
-    for (const auto& o : orders) {
+    for (const auto& o : commands) {
         json::object e;
-        e["verb"] = name_of(verbs, o.verb);
+        e["verb"] = name_of(command_types, o.type);
         e["shard"] = task_name(o.id);
         e["try"] = o.attempt;
-        if (o.verb == Verb::kill) e["wind_down_s"] = o.grace.count();
+        if (o.type == model::CommandType::kill) e["wind_down_s"] = o.grace_period.count();
         out.push_back(std::move(e));
     }
     return out;
 }
 
-json::value seconds_or_null(const std::optional<Seconds>& s) {
+json::value seconds_or_null(const std::optional<model::Seconds>& s) {
     return s ? json::value(s->count()) : json::value(nullptr);
 }
 
@@ -177,8 +182,8 @@
     json::parse_options options;
     options.max_depth = 16;
     auto v = json::parse(json::string_view(body.data(), body.size()), ec, {}, options);
-    if (ec) throw BadBody("body: not JSON");
-    if (!v.is_object()) throw BadBody("body: not a JSON object");
+    if (ec) throw DecodeError("body: not JSON");
+    if (!v.is_object()) throw DecodeError("body: not a JSON object");
     return std::move(v.get_object());
 }
 
@@ -191,14 +196,14 @@
     return true;
 }
 
-JobSpec parse_submission(const json::object& o) {
-    JobSpec s;
+model::JobSpec parse_submission(const json::object& o) {
+    model::JobSpec s;
     s.uid = text(o, "uid");
     if (!valid_uid(s.uid)) bad("uid", "malformed");
     s.job_class = text(o, "jobclass");
     s.team = text(o, "owner");
-    s.shape = word(o, "shape", shapes);
-    s.rank = word(o, "rank", ranks);
+    s.kind = word(o, "shape", kinds);
+    s.priority = word(o, "rank", priorities);
     const auto tasks = count(o, "shards");
     if (tasks < 1 || tasks > max_tasks) bad("shards", "must be 1 to 100000");
     s.tasks = static_cast<std::uint32_t>(tasks);
@@ -220,38 +225,38 @@
     s.one_zone = flag(o, "one_zone");
     s.spread = flag(o, "scatter");
     s.spot = flag(o, "loaners");
-    s.estimate = Seconds(amount(o, "guess_s"));
-    s.checkpoint = Seconds(amount(o, "snapshot_s"));
-    s.save = Seconds(amount(o, "flush_s"));
-    if (find(o, "due_s")) s.deadline = Seconds(amount(o, "due_s"));
+    s.estimated_runtime = model::Seconds(amount(o, "guess_s"));
+    s.checkpoint_interval = model::Seconds(amount(o, "snapshot_s"));
+    s.checkpoint_duration = model::Seconds(amount(o, "flush_s"));
+    if (find(o, "due_s")) s.deadline = model::Seconds(amount(o, "due_s"));
     if (find(o, "prereqs"))
         for (const auto& v : list(o, "prereqs")) {
             if (!v.is_string() || !valid_uid(std::string_view(v.get_string())))
                 bad("prereqs", "must hold names of jobs");
-            s.prerequisites.emplace_back(v.get_string());
+            s.dependencies.emplace_back(v.get_string());
         }
     // Whoever is named twice is needed once.
-    std::sort(s.prerequisites.begin(), s.prerequisites.end());
-    s.prerequisites.erase(std::unique(s.prerequisites.begin(), s.prerequisites.end()), s.prerequisites.end());
+    std::sort(s.dependencies.begin(), s.dependencies.end());
+    s.dependencies.erase(std::unique(s.dependencies.begin(), s.dependencies.end()), s.dependencies.end());
     return s;
 }
 
-std::string submission_answer(std::string_view uid, std::string_view status) {
+std::string submission_response(std::string_view uid, std::string_view status) {
     return json::serialize(json::object{{"uid", uid}, {"status", status}});
 }
 
-std::string poll_answer(std::string_view uid, std::string_view status, std::uint32_t done, std::uint32_t running) {
+std::string poll_response(std::string_view uid, std::string_view status, std::uint32_t done, std::uint32_t running) {
     return json::serialize(json::object{{"uid", uid}, {"status", status}, {"done", done}, {"running", running}});
 }
 
 std::string error_body(std::string_view message) { return json::serialize(json::object{{"error", message}}); }
 
-json::object spec_to_record(const JobSpec& s) {
+json::object spec_to_record(const model::JobSpec& s) {
     json::object o{{"uid", s.uid},
                    {"jobclass", s.job_class},
                    {"owner", s.team},
-                   {"shape", name_of(shapes, s.shape)},
-                   {"rank", name_of(ranks, s.rank)},
+                   {"shape", name_of(kinds, s.kind)},
+                   {"rank", name_of(priorities, s.priority)},
                    {"shards", s.tasks},
                    {"cores", s.need.cpus},
                    {"accelerators", s.need.gpus},
@@ -261,42 +266,42 @@
                    {"one_zone", s.one_zone},
                    {"scatter", s.spread},
                    {"loaners", s.spot},
-                   {"guess_s", s.estimate.count()},
-                   {"snapshot_s", s.checkpoint.count()},
-                   {"flush_s", s.save.count()},
+                   {"guess_s", s.estimated_runtime.count()},
+                   {"snapshot_s", s.checkpoint_interval.count()},
+                   {"flush_s", s.checkpoint_duration.count()},
                    {"at", s.accepted_ms}};
     if (s.types) o["hosttypes"] = json::value_from(*s.types);
     if (s.zone) o["hall"] = *s.zone;
-    if (!s.prerequisites.empty()) o["prereqs"] = json::value_from(s.prerequisites);
+    if (!s.dependencies.empty()) o["prereqs"] = json::value_from(s.dependencies);
     if (s.deadline) o["due_s"] = seconds_or_null(s.deadline);
     return o;
 }
 
-JobSpec spec_from_record(const json::object& record) {
+model::JobSpec spec_from_record(const json::object& record) {
     auto s = parse_submission(record);
     if (find(record, "at")) s.accepted_ms = static_cast<std::int64_t>(count(record, "at"));
     return s;
 }
 
-JobSize size_from_record(const json::object& record) {
+model::JobSize size_from_record(const json::object& record) {
     const auto* spec = find(record, "spec");
     const auto& o = spec ? as_object(*spec, "spec") : record;
-    return {word(o, "shape", shapes), static_cast<std::uint32_t>(count(o, "shards"))};
+    return {word(o, "shape", kinds), static_cast<std::uint32_t>(count(o, "shards"))};
 }
 
-void size_to_record(const JobSize& size, json::object& record) {
-    record["shape"] = name_of(shapes, size.shape);
+void size_to_record(const model::JobSize& size, json::object& record) {
+    record["shape"] = name_of(kinds, size.kind);
     record["shards"] = size.tasks;
 }
 
-json::array ranges_to_record(const std::vector<TaskRange>& ranges) {
+json::array ranges_to_record(const std::vector<model::TaskRange>& ranges) {
     json::array out;
     for (const auto& r : ranges) out.push_back({r.from, r.to, r.attempt, r.machine, r.done ? 1 : 0});
     return out;
 }
 
-std::vector<TaskRange> ranges_from_record(const json::array& record) {
-    std::vector<TaskRange> out;
+std::vector<model::TaskRange> ranges_from_record(const json::array& record) {
+    std::vector<model::TaskRange> out;
     for (const auto& v : record) {
         const auto& a = v.as_array();
         out.push_back({static_cast<std::uint32_t>(to_count(a.at(0), "range")),
@@ -306,46 +311,49 @@
     return out;
 }
 
-std::string_view job_state_name(JobState state) { return name_of(job_states, state); }
-JobState job_state_from(std::string_view name) {
+std::string_view job_state_name(model::JobState state) { return name_of(job_states, state); }
+model::JobState job_state_from(std::string_view name) {
     if (auto s = value_of(job_states, name)) return *s;
-    throw BadBody("state: unknown");
+    throw DecodeError("state: unknown");
 }
 
-WorkerReport parse_report(std::string_view body) {
+model::Heartbeat parse_heartbeat(std::string_view body) {
     const auto o = parse_object(body);
-    WorkerReport r;
+    model::Heartbeat r;
     r.machine = text(o, "host");
     r.addr = text(o, "endpoint");
     r.type = text(o, "hosttype");
     r.zone = text(o, "hall");
     r.spot = flag_or(o, "loaners", false);
-    r.tenure = count(o, "tenure");
-    r.tick = count(o, "tick");
-    r.token = count(o, "baton");
-    if (find(o, "warning_s")) r.notice = Seconds(amount(o, "warning_s"));
+    r.incarnation = count(o, "tenure");
+    r.sequence = count(o, "tick");
+    r.fencing_token = count(o, "baton");
+    if (find(o, "warning_s")) r.termination_notice = model::Seconds(amount(o, "warning_s"));
     if (find(o, "shards"))
         for (const auto& v : list(o, "shards")) {
             const auto& t = as_object(v, "shards");
-            TaskReport task;
+            model::TaskReport task;
             task.id = task_id(text(t, "shard"), "shard");
             task.attempt = count(t, "try");
             task.status = word(t, "status", statuses);
             // An unknown cause must not make the whole report unreadable: it counts as a failure.
-            if (task.status == TaskStatus::exited)
-                task.cause = value_of(causes, optional_text(t, "cause").value_or("error")).value_or(Cause::error);
-            task.saved = flag_or(t, "kept", false);
+            if (task.status == model::TaskStatus::exited)
+                task.exit_reason = value_of(exit_reasons, optional_text(t, "cause").value_or("error"))
+                                       .value_or(model::ExitReason::error);
+            task.checkpointed = flag_or(t, "kept", false);
             r.tasks.push_back(std::move(task));
         }
     return r;
 }
 
-std::string report_answer(std::uint64_t token, const std::vector<Order>& orders) {
-    return json::serialize(json::object{{"baton", token}, {"orders", orders_json(orders)}});
+std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<model::Command>& commands) {
+    return json::serialize(json::object{{"baton", fencing_token}, {"orders", commands_json(commands)}});
 }
 
-std::string direct_commands(std::uint64_t token, std::uint64_t tenure, const std::vector<Order>& orders) {
-    return json::serialize(json::object{{"baton", token}, {"tenure", tenure}, {"orders", orders_json(orders)}});
+std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
+                            const std::vector<model::Command>& commands) {
+    return json::serialize(
+        json::object{{"baton", fencing_token}, {"tenure", incarnation}, {"orders", commands_json(commands)}});
 }
 
 std::string redirect_body(std::string_view leader) {
@@ -353,19 +361,19 @@
     return json::serialize(json::object{{"overseer", leader}});
 }
 
-std::vector<MachineType> parse_catalog(std::string_view body) {
+std::vector<model::MachineType> parse_catalog(std::string_view body) {
     const auto o = parse_object(body);
-    std::vector<MachineType> out;
+    std::vector<model::MachineType> out;
     for (const auto& v : list(o, "hosttypes")) {
         const auto& t = as_object(v, "hosttypes");
-        MachineType m;
+        model::MachineType m;
         m.name = text(t, "name");
         m.capacity = {amount(t, "cores"), amount(t, "accelerators"), amount(t, "mem_gb")};
         m.cache_gb = find(t, "local_gb") ? amount(t, "local_gb") : 0;
         m.fetch_gb_per_s = find(t, "pull_gb_per_s") ? amount(t, "pull_gb_per_s") : 0;
         m.price = amount(t, "price");
         m.spot_price = find(t, "market_price") ? amount(t, "market_price") : m.price;
-        m.boot = Seconds(find(t, "boot_s") ? amount(t, "boot_s") : 0);
+        m.boot = model::Seconds(find(t, "boot_s") ? amount(t, "boot_s") : 0);
         for (const auto& z : list(t, "halls"))
             if (z.is_string()) m.zones.emplace_back(z.get_string());
         out.push_back(std::move(m));
@@ -373,7 +381,7 @@
     return out;
 }
 
-json::object catalog_record(const std::vector<MachineType>& types) {
+json::object catalog_record(const std::vector<model::MachineType>& types) {
     json::array list;
     for (const auto& t : types)
         list.push_back(json::object{{"name", t.name},
@@ -394,21 +402,21 @@
     MachinePage page;
     for (const auto& v : list(o, "hosts")) {
         const auto& h = as_object(v, "hosts");
-        ListedMachine m;
+        model::ListedMachine m;
         m.name = text(h, "uid");
         m.addr = optional_text(h, "endpoint").value_or("");
         m.type = text(h, "hosttype");
         m.zone = text(h, "hall");
         m.spot = flag_or(h, "loaners", false);
         m.status = word(h, "status", machine_statuses);
-        m.age = Seconds(find(h, "held_s") ? amount(h, "held_s") : 0);
+        m.age = model::Seconds(find(h, "held_s") ? amount(h, "held_s") : 0);
         page.machines.push_back(std::move(m));
     }
     page.more = flag_or(o, "truncated", false);
     return page;
 }
 
-std::vector<std::string> parse_rented(std::string_view body) {
+std::vector<std::string> parse_launched(std::string_view body) {
     const auto o = parse_object(body);
     std::vector<std::string> out;
     for (const auto& v : list(o, "hosts"))
@@ -416,12 +424,12 @@
     return out;
 }
 
-std::string rent_body(std::string_view request, std::string_view type, std::string_view zone, bool spot, int number) {
+std::string launch_body(std::string_view request, std::string_view type, std::string_view zone, bool spot, int number) {
     return json::serialize(
         json::object{{"hire", request}, {"hosttype", type}, {"hall", zone}, {"loaners", spot}, {"number", number}});
 }
 
-std::string release_body(const std::vector<std::string>& names) {
+std::string terminate_body(const std::vector<std::string>& names) {
     return json::serialize(json::object{{"hosts", json::value_from(names)}});
 }
 
--- a/src/wire/notes.cpp
+++ b/src/wire/machine_hints.cpp
@@ -1,8 +1,8 @@
-#include "wire/notes.hpp"
+#include "wire/machine_hints.hpp"
 
 #include <map>
 
-#include "wire/notes.capnp.h"
+#include "wire/machine_hints.capnp.h"
 #include "wire/packed.hpp"
 
 namespace flintdale::wire {
@@ -12,9 +12,9 @@
 constexpr std::size_t max_page = 1024 * 1024;  // of a page once it is unpacked: what claims more is none of ours
 }  // namespace
 
-std::string encode_notes(std::span<const MachineNote> notes) {
+std::string encode_machine_hints(std::span<const MachineHint> notes) {
     std::map<std::string_view, std::uint32_t> places;
-    std::vector<const MachineNote::Image*> images;
+    std::vector<const MachineHint::Image*> images;
     for (const auto& note : notes)
         for (const auto& image : note.images)
             if (places.try_emplace(image.name, static_cast<std::uint32_t>(images.size())).second)
@@ -29,30 +29,30 @@
     auto machines = page.initMachines(static_cast<unsigned>(notes.size()));
     for (unsigned i = 0; i < notes.size(); ++i) {
         machines[i].setName(notes[i].name);
-        machines[i].setSuspect(notes[i].suspect);
+        machines[i].setQuarantined(notes[i].quarantined);
         auto held = machines[i].initImages(static_cast<unsigned>(notes[i].images.size()));
         for (unsigned k = 0; k < notes[i].images.size(); ++k) held.set(k, places.at(notes[i].images[k].name));
     }
-    return to_text(shrink(message, level));
+    return to_text(compress(message, level));
 }
 
-std::vector<MachineNote> decode_notes(std::string_view text) {
-    const auto bytes = grow(from_text(text), max_page);
-    std::vector<MachineNote> out;
+std::vector<MachineHint> decode_machine_hints(std::string_view text) {
+    const auto bytes = decompress(from_text(text), max_page);
+    std::vector<MachineHint> out;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
         capnp::PackedMessageReader message(stream);
         const auto page = message.getRoot<::Page>();
         const auto images = page.getImages();
         for (const auto machine : page.getMachines()) {
-            MachineNote note{machine.getName().cStr(), {}, machine.getSuspect()};
+            MachineHint note{machine.getName().cStr(), {}, machine.getQuarantined()};
             for (const auto place : machine.getImages())
                 if (place < images.size())
                     note.images.push_back({images[place].getName().cStr(), images[place].getGb()});
             out.push_back(std::move(note));
         }
     } catch (const kj::Exception& e) {
-        throw BadBody(std::string("a page of notes cannot be read: ") + e.getDescription().cStr());
+        throw DecodeError(std::string("a page of notes cannot be read: ") + e.getDescription().cStr());
     }
     return out;
 }
--- a/src/wire/notes.hpp
+++ b/src/wire/machine_hints.hpp
@@ -8,7 +8,7 @@
 
 namespace flintdale::wire {
 
-struct MachineNote {
+struct MachineHint {
     struct Image {
         std::string name;
         double gb = 0;
@@ -16,13 +16,13 @@
     };
     std::string name;
     std::vector<Image> images;  // that its cache holds, oldest use first
-    bool suspect = false;       // several jobs failed there that went well elsewhere
-    bool operator==(const MachineNote&) const = default;
+    bool quarantined = false;   // several jobs failed there that went well elsewhere
+    bool operator==(const MachineHint&) const = default;
 };
 
 // One page of text without spaces or quotes. The same notes give the same text.
-std::string encode_notes(std::span<const MachineNote> notes);
-// Throws BadBody if the text is no such page.
-std::vector<MachineNote> decode_notes(std::string_view text);
+std::string encode_machine_hints(std::span<const MachineHint> notes);
+// Throws DecodeError if the text is no such page.
+std::vector<MachineHint> decode_machine_hints(std::string_view text);
 
 }  // namespace flintdale::wire
--- a/src/wire/packed.hpp
+++ b/src/wire/packed.hpp
@@ -17,7 +17,7 @@
 namespace flintdale::wire {
 
 // The frame carries a checksum, so that what is damaged is never taken for what was written.
-inline std::string shrink(capnp::MessageBuilder& message, int level) {
+inline std::string compress(capnp::MessageBuilder& message, int level) {
     kj::VectorOutputStream packed;
     capnp::writePackedMessage(packed, message);
     const auto bytes = packed.getArray();
@@ -31,14 +31,14 @@
     return small;
 }
 
-// The bytes of the packed message; throws BadBody where they are damaged, or longer than any of ours.
-inline std::vector<kj::byte> grow(std::string_view small, std::size_t most) {
+// The bytes of the packed message; throws DecodeError where they are damaged, or longer than any of ours.
+inline std::vector<kj::byte> decompress(std::string_view small, std::size_t most) {
     const auto size = ZSTD_getFrameContentSize(small.data(), small.size());
     if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > most)
-        throw BadBody("no page of ours");
+        throw DecodeError("no page of ours");
     std::vector<kj::byte> bytes(size);
     const auto got = ZSTD_decompress(bytes.data(), bytes.size(), small.data(), small.size());
-    if (ZSTD_isError(got) || got != size) throw BadBody("a page is damaged");
+    if (ZSTD_isError(got) || got != size) throw DecodeError("a page is damaged");
     return bytes;
 }
 
@@ -49,7 +49,7 @@
 
 inline std::string from_text(std::string_view text) {
     const auto bytes = kj::decodeBase64(kj::arrayPtr(text.data(), text.size()));
-    if (bytes.hadErrors) throw BadBody("a page is damaged");
+    if (bytes.hadErrors) throw DecodeError("a page is damaged");
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -3,34 +3,34 @@
 # What controllers tell each other. No rule needs a message to arrive: they make answers fresher and hand-overs quicker,
 # and tell a leader that the state service does not answer what the others have told users.
 
-struct JobCount {
+struct JobCount @0xb1434d0913e5fc78 {
     uid @0 :Text;
     done @1 :UInt32;
     running @2 :UInt32;
 }
 
-struct Heard {
+struct ReceivedMessage @0xa888a321aacdd332 {
     member @0 :Text;
-    life @1 :UInt64;
+    incarnation @1 :UInt64;
     number @2 :UInt64;
 }
 
-struct Beat {
+struct StatusMessage @0xbbe192b8a6584567 {
     member @0 :Text;
     term @1 :UInt64;          # highest term the sender has seen
     leader @2 :Text;          # who the sender believes leads that term, or empty
-    stateOk @3 :Bool;         # the sender's own access to the state service works
+    storeHealthy @3 :Bool;      # the sender's own access to the state service works
     counts @4 :List(JobCount); # from the leader: jobs whose display counts changed
     leading @5 :Bool;
     writes @6 :Float64;       # to the state service, that the sender lately asked for
-    knocks @7 :UInt32;        # reports that the sender turned away to the leader since its last message
+    redirects @7 :UInt32;     # heartbeats that the sender turned away to the leader since its last message
     generation @9 :UInt64;    # of the records' history that the sender knows; 0: none, or a version that does not tell
     history @10 :Text;
     remembers @11 :UInt64;    # the revision up to which it does
     rebuilding @12 :UInt64;   # the generation that it sees being rebuilt; 0: none
-    life @13 :UInt64;         # of the sender: another one each time that it is started; 0: a version without
-    number @14 :UInt64;       # of this message in the sender's life, from 1; 0: a version that does not count
-    heard @15 :List(Heard);   # the newest message of each other controller that the sender has heard
+    incarnation @13 :UInt64;  # of the sender: another one each time that it is started; 0: a version without
+    number @14 :UInt64;       # of this message of the sender's incarnation, from 1; 0: a version that does not count
+    heard @15 :List(ReceivedMessage);   # the newest message of each other controller that the sender has heard
     cancelled @16 :List(Text); # jobs that the sender has lately learned to be cancelled
     whole @17 :Bool;          # and it has told users of no others in that time
     relays @18 :Bool;         # the sender passes reports on to a leader that does so too, and answers what is passed on to it
--- a/src/worker/client.cpp
+++ b/src/worker/client.cpp
@@ -4,13 +4,15 @@
 
 #include <charconv>
 
+#include "model/heartbeat.hpp"
+
 namespace flintdale::worker {
 
 namespace {
 constexpr std::chrono::milliseconds limit{1500};
 }
 
-awaitable<std::optional<wire::WorkerReport>> HttpWorkers::status(std::string address) {
+awaitable<std::optional<model::Heartbeat>> HttpWorkers::status(std::string address) {
     const auto colon = address.rfind(':');
     std::uint16_t port = 0;
     boost::system::error_code ec;
@@ -25,8 +27,8 @@
     const auto answer = co_await http.request(net::http::verb::get, std::move(target), std::string(), limit);
     if (answer.status != 200) co_return std::nullopt;
     try {
-        co_return wire::parse_report(answer.body);
-    } catch (const wire::BadBody& e) {
+        co_return wire::parse_heartbeat(answer.body);
+    } catch (const wire::DecodeError& e) {
         spdlog::error("event=report_unreadable address={} why=\"{}\"", address, e.what());
     }
     co_return std::nullopt;
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,10 +1,11 @@
 // What controllers tell each other of cancellations, and until when a leader may go by it.
 #include "peer/cancellations.hpp"
 
-#include "peer/link.hpp"
+#include "model/job.hpp"
+#include "peer/peer_connections.hpp"
 #include "scheduler/follower_leases.hpp"
 #include "scheduler/lease_rule.hpp"
-#include "world.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
@@ -32,12 +33,13 @@
             one.knows = std::make_unique<peer::Cancellations>(one.settings);
         }
     }
-    peer::Word say(const std::string& who) { return all[who].knows->say(now); }
-    void hear(const std::string& who, const std::string& from, std::uint64_t incarnation, const peer::Word& word) {
+    peer::CancellationReport say(const std::string& who) { return all[who].knows->say(now); }
+    void hear(const std::string& who, const std::string& from, std::uint64_t incarnation,
+              const peer::CancellationReport& report) {
         auto& one = all[who];
-        for (const auto& uid : word.lately)
+        for (const auto& uid : report.lately)
             if (one.knows->note(uid, now)) one.heard_of.insert(uid);
-        one.knows->heard(from, incarnation, one.incarnation, word, now);
+        one.knows->heard(from, incarnation, one.incarnation, report, now);
     }
     void tell(const std::string& from, const std::string& to) { hear(to, from, all[from].incarnation, say(from)); }
     // Everybody hears everybody, each second.
@@ -160,40 +162,40 @@
 
 TEST_F(Three, it_travels_whole) {
     talk(3);
-    peer::Beat b;
+    peer::StatusMessage b;
     b.member = "b";
     all["b"].knows->note("run-1", now);
-    b.word = say("b");
+    b.cancellations = say("b");
     const auto there = peer::decode(peer::encode(b));
-    EXPECT_EQ(there.word.number, b.word.number);
-    EXPECT_TRUE(there.word.whole);
-    EXPECT_EQ(there.word.lately, std::vector<std::string>{"run-1"});
-    ASSERT_EQ(there.word.heard.size(), 2u);
-    EXPECT_EQ(there.word.heard[0].member, "a");
-    EXPECT_EQ(there.word.heard[0].incarnation, 1u);
-    EXPECT_EQ(there.word.heard[0].number, b.word.heard[0].number);
+    EXPECT_EQ(there.cancellations.number, b.cancellations.number);
+    EXPECT_TRUE(there.cancellations.whole);
+    EXPECT_EQ(there.cancellations.lately, std::vector<std::string>{"run-1"});
+    ASSERT_EQ(there.cancellations.heard.size(), 2u);
+    EXPECT_EQ(there.cancellations.heard[0].member, "a");
+    EXPECT_EQ(there.cancellations.heard[0].incarnation, 1u);
+    EXPECT_EQ(there.cancellations.heard[0].number, b.cancellations.heard[0].number);
 }
 
 // The watch of a leader that is refused, or of everybody in an outage, stands open and tells of a cancellation long
 // after its user was told. A machine that hangs must be given up by the time that counts from then.
 TEST(LateNews, ran_cancelled_a_cancellation_that_is_read_late_counts_from_when_it_was_told) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->catalog(types());
     Worker m;
-    w.accept(job("run-1", wire::Shape::service, 1));
-    w.beat(m);
+    w.accept(job("run-1", model::JobKind::service, 1));
+    w.heartbeat(m);
     w.settle();
-    for (int i = 0; i < 3; ++i) w.beat(m);
+    for (int i = 0; i < 3; ++i) w.heartbeat(m);
     ASSERT_TRUE(w.place());
-    w.beat(m);
+    w.heartbeat(m);
     m.run_all();
-    w.beat(m);
+    w.heartbeat(m);
     ASSERT_EQ(w.machine_of("run-1", 0), m.name);
     // Told here; the machine hangs from now on.
-    state::Item outcome;
+    state::KeyValue outcome;
     outcome.key = scheduler::outcome_key("run-1");
-    outcome.stamp = 1'000'000;
+    outcome.mod_revision = 1'000'000;
     outcome.value = boost::json::object{{"state", "aborted"}, {"at", w.wall_ms}, {"shape", "standing"}, {"shards", 1}};
     const auto told = w.now;
     w.pass(Seconds(30));
@@ -201,28 +203,28 @@
     w.leader->job_changed(outcome, w.now, w.wall_ms);
     TimePoint given_up = TimePoint::max();
     // For that reason, the only one that counts in an outage.
-    for (; w.now < told + wire::to_clock(w.settings.cancel * 2) && given_up == TimePoint::max(); w.pass(Seconds(1)))
+    for (; w.now < told + model::to_clock(w.settings.cancel * 2) && given_up == TimePoint::max(); w.pass(Seconds(1)))
         for (const auto& r : w.leader->release(w.now))
             if (r.why == scheduler::cancelled_work) given_up = w.now;
-    EXPECT_LT(given_up, told + wire::to_clock(w.settings.cancel) - 5s);
+    EXPECT_LT(given_up, told + model::to_clock(w.settings.cancel) - 5s);
 }
 
 // A peer's word, while the record cannot be read: no order is sent any more, and what runs is killed.
 TEST(LateNews, ran_cancelled_a_peers_word_is_enough_to_stop_a_job) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->catalog(types());
     Worker m;
-    w.accept(job("run-1", wire::Shape::array, 1));
-    w.beat(m);
+    w.accept(job("run-1", model::JobKind::array, 1));
+    w.heartbeat(m);
     w.settle();
-    for (int i = 0; i < 3; ++i) w.beat(m);
+    for (int i = 0; i < 3; ++i) w.heartbeat(m);
     ASSERT_TRUE(w.place());
-    w.beat(m);
+    w.heartbeat(m);
     m.run_all();
     EXPECT_TRUE(w.leader->cancelled_elsewhere("run-1", w.now));
     EXPECT_FALSE(w.leader->cancelled_elsewhere("run-1", w.now));
-    EXPECT_TRUE(w.ordered(w.beat(m), Verb::kill, "run-1", 0));
+    EXPECT_TRUE(w.ordered(w.heartbeat(m), CommandType::kill, "run-1", 0));
 }
 
 }  // namespace flintdale::test
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "state/gate.hpp"
-#include "world.hpp"
+#include "state/request_limiter.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
@@ -9,7 +9,7 @@
 std::string settings_error(const std::string& text) {
     try {
         config::parse_settings(text, "file");
-    } catch (const config::BadSetting& e) {
+    } catch (const config::ConfigError& e) {
         return e.what();
     }
     return "";
@@ -17,7 +17,7 @@
 std::string tunables_error(const std::string& text) {
     try {
         config::parse_tunables(text, "file.ini");
-    } catch (const config::BadSetting& e) {
+    } catch (const config::ConfigError& e) {
         return e.what();
     }
     return "";
@@ -79,59 +79,59 @@
     EXPECT_NE(tunables_error("window_s = 3\n").find("[section]"), std::string::npos);
 }
 
-TEST(Budget, less_urgent_requests_leave_room_for_leadership) {
-    using state::Urgency;
+TEST(TokenBucket, less_urgent_requests_leave_room_for_leadership) {
+    using state::RequestPriority;
     const TimePoint start{100s};
-    state::Budget b(10, 5, start);
+    state::TokenBucket b(10, 5, start);
     int taken = 0;
-    while (b.take(0, Urgency::bookkeeping, start).count() == 0) ++taken;
+    while (b.take(0, RequestPriority::bookkeeping, start).count() == 0) ++taken;
     EXPECT_EQ(taken, 7);
-    while (b.take(0, Urgency::leadership, start).count() == 0) ++taken;
+    while (b.take(0, RequestPriority::leadership, start).count() == 0) ++taken;
     EXPECT_EQ(taken, 10);
-    EXPECT_GT(b.take(0, Urgency::leadership, start).count(), 0);
-    EXPECT_EQ(b.take(0, Urgency::leadership, start + 1s).count(), 0);
+    EXPECT_GT(b.take(0, RequestPriority::leadership, start).count(), 0);
+    EXPECT_EQ(b.take(0, RequestPriority::leadership, start + 1s).count(), 0);
 }
 
 // What jobs that are over leave on record was removed ahead of what was new, and on a drawn day of Riga's swarm
 // nothing else was written any more.
-TEST(Budget, leftovers_are_removed_only_while_there_is_plenty) {
-    using state::Urgency;
+TEST(TokenBucket, leftovers_are_removed_only_while_there_is_plenty) {
+    using state::RequestPriority;
     const TimePoint start{100s};
-    state::Budget b(100, 10, start);
-    EXPECT_EQ(b.take(2, Urgency::leftover, start).count(), 0);
-    EXPECT_GT(b.take(1, Urgency::leftover, start).count(), 0);
-    EXPECT_EQ(b.take(1, Urgency::bookkeeping, start).count(), 0);
+    state::TokenBucket b(100, 10, start);
+    EXPECT_EQ(b.take(2, RequestPriority::garbage_collection, start).count(), 0);
+    EXPECT_GT(b.take(1, RequestPriority::garbage_collection, start).count(), 0);
+    EXPECT_EQ(b.take(1, RequestPriority::bookkeeping, start).count(), 0);
 }
 
 // Rates so low that the time a test takes counts for nothing.
-TEST(Gate, writes_wait_their_turn_and_neither_reads_nor_leadership_wait_behind_them) {
-    using state::Urgency;
+TEST(RequestLimiter, writes_wait_their_turn_and_neither_reads_nor_leadership_wait_behind_them) {
+    using state::RequestPriority;
     net::asio::io_context io;
-    state::Gate gate(io.get_executor(), state::Budget(1e6, 1e-3, wire::Clock::now()));
+    state::RequestLimiter limiter(io.get_executor(), state::TokenBucket(1e6, 1e-3, model::Clock::now()));
     std::string order;
-    const auto enter = [&](double writes, Urgency urgency, char mark) {
-        net::asio::co_spawn(io, gate.enter(writes, urgency), [&order, mark](std::exception_ptr) { order += mark; });
+    const auto enter = [&](double writes, RequestPriority priority, char mark) {
+        net::asio::co_spawn(io, limiter.enter(writes, priority), [&order, mark](std::exception_ptr) { order += mark; });
         io.restart();
         io.poll();
     };
-    enter(1, Urgency::user, 'a');  // the one that the bucket still allows
-    enter(1, Urgency::user, 'b');
-    enter(2, Urgency::bookkeeping, 'c');
-    EXPECT_EQ(gate.write_wait().count(), 3000.0);
-    enter(0, Urgency::user, 'd');
-    enter(0, Urgency::leadership, 'e');
+    enter(1, RequestPriority::user, 'a');  // the one that the bucket still allows
+    enter(1, RequestPriority::user, 'b');
+    enter(2, RequestPriority::bookkeeping, 'c');
+    EXPECT_EQ(limiter.write_wait().count(), 3000.0);
+    enter(0, RequestPriority::user, 'd');
+    enter(0, RequestPriority::leadership, 'e');
     EXPECT_EQ(order, "ade");
-    EXPECT_EQ(gate.take_demand(), 4.0);
-    EXPECT_EQ(gate.take_demand(), 3.0);  // what still waits is asked for all the same
+    EXPECT_EQ(limiter.take_demand(), 4.0);
+    EXPECT_EQ(limiter.take_demand(), 3.0);  // what still waits is asked for all the same
 }
 
-TEST(Budget, writes_over_a_second_never_pass_the_rate) {
-    using state::Urgency;
+TEST(TokenBucket, writes_over_a_second_never_pass_the_rate) {
+    using state::RequestPriority;
     TimePoint t{100s};
-    state::Budget b(1000, 10, t);
+    state::TokenBucket b(1000, 10, t);
     double written = 0;
     for (int ms = 0; ms < 10'000; ms += 5, t += 5ms)
-        if (b.take(3, Urgency::user, t).count() == 0) written += 3;
+        if (b.take(3, RequestPriority::user, t).count() == 0) written += 3;
     EXPECT_LE(written, 10 * 10 + 10 + 3);
     EXPECT_GE(written, 80);
 }
--- a/tests/prerequisites_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,5 +1,5 @@
 // Who waits for whom, and what follows.
-#include "scheduler/prerequisites.hpp"
+#include "scheduler/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,19 +7,21 @@
 #include <map>
 #include <random>
 
+#include "model/job.hpp"
+
 namespace flintdale::test {
 
-using scheduler::Prerequisites;
-using wire::Rank;
+using model::Priority;
+using scheduler::DependencyGraph;
 using Names = std::vector<std::string>;
-using Fate = Prerequisites::Fate;
+using Fate = DependencyGraph::Fate;
 
-TEST(Prerequisites, a_diamond_is_ready_when_both_its_sides_are_done_and_not_before) {
-    Prerequisites p;
-    p.opened("top", Rank::normal, {});
-    p.opened("left", Rank::normal, {"top"});
-    p.opened("right", Rank::normal, {"top"});
-    p.opened("end", Rank::normal, {"left", "right"});
+TEST(DependencyGraph, a_diamond_is_ready_when_both_its_sides_are_done_and_not_before) {
+    DependencyGraph p;
+    p.opened("top", Priority::normal, {});
+    p.opened("left", Priority::normal, {"top"});
+    p.opened("right", Priority::normal, {"top"});
+    p.opened("end", Priority::normal, {"left", "right"});
     EXPECT_EQ(p.over("top", true, 5).ready, (Names{"left", "right"}));
     EXPECT_TRUE(p.over("left", true, 9).ready.empty());
     EXPECT_TRUE(p.waits("end"));
@@ -29,46 +31,46 @@
     EXPECT_TRUE(p.over("right", true, 8).empty()) << "the same news again is none";
 }
 
-TEST(Prerequisites, a_cancelled_job_dooms_all_that_need_it_once_and_the_nearest_first) {
-    Prerequisites p;
-    p.opened("top", Rank::normal, {});
-    p.opened("left", Rank::normal, {"top"});
-    p.opened("right", Rank::normal, {"top"});
-    p.opened("end", Rank::normal, {"left", "right"});
-    p.opened("other", Rank::normal, {});
+TEST(DependencyGraph, a_cancelled_job_dooms_all_that_need_it_once_and_the_nearest_first) {
+    DependencyGraph p;
+    p.opened("top", Priority::normal, {});
+    p.opened("left", Priority::normal, {"top"});
+    p.opened("right", Priority::normal, {"top"});
+    p.opened("end", Priority::normal, {"left", "right"});
+    p.opened("other", Priority::normal, {});
     EXPECT_EQ(p.over("top", false, 0).doomed, (Names{"left", "right", "end"}));
     EXPECT_TRUE(p.over("left", false, 0).doomed.empty());
     EXPECT_FALSE(p.waits("other"));
-    EXPECT_EQ(p.opened("late", Rank::normal, {"end"}).doomed, Names{"late"})
+    EXPECT_EQ(p.opened("late", Priority::normal, {"end"}).doomed, Names{"late"})
         << "it names what is about to be cancelled";
     p.over("end", false, 0);
-    EXPECT_EQ(p.opened("later", Rank::normal, {"end", "other"}).doomed, Names{"later"});
+    EXPECT_EQ(p.opened("later", Priority::normal, {"end", "other"}).doomed, Names{"later"});
     EXPECT_TRUE(p.over("other", true, 0).ready.empty()) << "what is doomed is never ready";
 }
 
-TEST(Prerequisites, a_job_has_the_highest_rank_of_all_that_need_it_for_as_long_as_they_do) {
-    Prerequisites p;
-    p.opened("first", Rank::idle, {});
-    p.opened("second", Rank::normal, {"first"});
-    EXPECT_EQ(p.rank("first"), Rank::normal);
-    const auto raised = p.opened("last", Rank::high, {"second"}).reranked;
+TEST(DependencyGraph, a_job_has_the_highest_rank_of_all_that_need_it_for_as_long_as_they_do) {
+    DependencyGraph p;
+    p.opened("first", Priority::idle, {});
+    p.opened("second", Priority::normal, {"first"});
+    EXPECT_EQ(p.priority("first"), Priority::normal);
+    const auto raised = p.opened("last", Priority::high, {"second"}).priority_changed;
     EXPECT_EQ(std::count(raised.begin(), raised.end(), "first"), 1);
-    EXPECT_EQ(p.rank("first"), Rank::high);
-    EXPECT_EQ(p.rank("second"), Rank::high);
+    EXPECT_EQ(p.priority("first"), Priority::high);
+    EXPECT_EQ(p.priority("second"), Priority::high);
     p.over("last", false, 0);
-    EXPECT_EQ(p.rank("second"), Rank::normal);
-    EXPECT_EQ(p.rank("first"), Rank::normal);
+    EXPECT_EQ(p.priority("second"), Priority::normal);
+    EXPECT_EQ(p.priority("first"), Priority::normal);
     p.over("second", false, 0);
-    EXPECT_EQ(p.rank("first"), Rank::idle);
+    EXPECT_EQ(p.priority("first"), Priority::idle);
 }
 
-TEST(Prerequisites, a_job_may_be_named_before_it_is_known_and_its_end_must_be_read_if_nobody_tells) {
-    Prerequisites p;
-    p.opened("second", Rank::high, {"first", "gone"});
+TEST(DependencyGraph, a_job_may_be_named_before_it_is_known_and_its_end_must_be_read_if_nobody_tells) {
+    DependencyGraph p;
+    p.opened("second", Priority::high, {"first", "gone"});
     EXPECT_TRUE(p.waits("second"));
     EXPECT_EQ(p.unknown(), (std::set<std::string>{"first", "gone"}));
-    p.opened("first", Rank::idle, {});
-    EXPECT_EQ(p.rank("first"), Rank::high);
+    p.opened("first", Priority::idle, {});
+    EXPECT_EQ(p.priority("first"), Priority::high);
     EXPECT_EQ(p.unknown(), std::set<std::string>{"gone"});
     EXPECT_TRUE(p.over("gone", true, 0).ready.empty());
     p.over_somehow("first");
@@ -79,17 +81,17 @@
 }
 
 // Any order of any news leads to what a look at all jobs at once would find.
-TEST(Prerequisites, whatever_happens_the_graph_agrees_with_a_plain_look_at_all_jobs) {
+TEST(DependencyGraph, whatever_happens_the_graph_agrees_with_a_plain_look_at_all_jobs) {
     std::mt19937 random(7);
     for (int day = 0; day < 200; ++day) {
         struct Plain {
             Names needs;
-            Rank rank;
+            Priority priority;
             Fate fate = Fate::open;
         };
         std::map<std::string, Plain> jobs;
         Names names, ready;
-        Prerequisites p;
+        DependencyGraph p;
         const auto doomed = [&](const auto& self, const std::string& uid) -> bool {
             for (const auto& n : jobs[uid].needs)
                 if (jobs[n].fate == Fate::cancelled || (jobs[n].fate == Fate::open && self(self, n))) return true;
@@ -99,8 +101,8 @@
             return std::any_of(jobs[uid].needs.begin(), jobs[uid].needs.end(),
                                [&](const auto& n) { return jobs[n].fate != Fate::done; });
         };
-        const auto rank = [&](const auto& self, const std::string& uid) -> Rank {
-            auto r = jobs[uid].rank;
+        const auto priority = [&](const auto& self, const std::string& uid) -> Priority {
+            auto r = jobs[uid].priority;
             for (const auto& [name, job] : jobs)
                 if (job.fate == Fate::open && !doomed(doomed, name) &&
                     std::count(job.needs.begin(), job.needs.end(), uid))
@@ -110,12 +112,12 @@
         for (int step = 0; step < 30; ++step) {
             if (names.empty() || random() % 2) {
                 const auto uid = "run-" + std::to_string(names.size());
-                Plain job{{}, static_cast<Rank>(random() % 4), Fate::open};
+                Plain job{{}, static_cast<Priority>(random() % 4), Fate::open};
                 for (const auto& n : names)
                     if (random() % 4 == 0) job.needs.push_back(n);
                 jobs[uid] = job;
                 names.push_back(uid);
-                p.opened(uid, job.rank, job.needs);
+                p.opened(uid, job.priority, job.needs);
             } else {
                 const auto& uid = names[random() % names.size()];
                 auto& job = jobs[uid];
@@ -128,7 +130,7 @@
                 if (jobs[uid].fate != Fate::open) continue;
                 ASSERT_EQ(p.waits(uid), lacks(uid)) << uid << " on day " << day;
                 if (!doomed(doomed, uid)) {
-                    ASSERT_EQ(p.rank(uid), rank(rank, uid)) << uid << " on day " << day;
+                    ASSERT_EQ(p.priority(uid), priority(priority, uid)) << uid << " on day " << day;
                 }
             }
         }
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -1,6 +1,6 @@
 // Who leads, when answers are lost and former lives linger.
 #include "election/elector.hpp"
-#include "fake_store.hpp"
+#include "support/fake_store.hpp"
 
 namespace flintdale::test {
 
@@ -51,7 +51,7 @@
 TEST_F(ElectionStory, whoever_waits_for_a_vacancy_claims_it_without_reading_anything_again) {
     Node one(io, store, "one");
     settle();
-    state::FollowResult ended;
+    state::WatchResult ended;
     ended.outcome = state::Outcome::ok;
     ended.events.push_back({election::holder_key, {}, 2});
     ended.deleted.push_back(true);
--- a/tests/meetings_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "emulator/world.hpp"
+#include "simulator/simulation.hpp"
 
 namespace flintdale::test {
 
@@ -115,20 +115,20 @@
 lasts_s = 70
 )";
 
-emulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
+simulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
     spdlog::set_level(spdlog::level::off);
-    const auto scenario = emulator::parse_scenario(world + troubles, "story");
-    return emulator::World(scenario, seed).play();
+    const auto scenario = simulator::parse_scenario(world + troubles, "story");
+    return simulator::Simulation(scenario, seed).play();
 }
 
-std::string broken(const emulator::Outcome& o) {
+std::string broken(const simulator::Outcome& o) {
     std::string out;
     for (const auto& [rule, first] : o.first) out += rule + " at " + first + "; ";
     for (const auto& name : o.left_behind) out += name + " left behind; ";
     return out;
 }
 
-void expect_met(const emulator::Outcome& o) {
+void expect_met(const simulator::Outcome& o) {
     EXPECT_GT(o.met_cancelled, 0u) << "nothing that ran was cancelled through another controller";
     EXPECT_GT(o.met_workers, 10u) << "the workers were not with the old leader when the outage began";
     EXPECT_GT(o.met_answers, 0u) << "the old leader answered nobody";
@@ -395,7 +395,7 @@
 const std::string at_once = "after = \"begun\"\nat_s = 0\n";
 
 void expect_whole(const std::string& troubles, std::initializer_list<std::uint64_t> seeds,
-                  const std::function<void(const emulator::Outcome&)>& met) {
+                  const std::function<void(const simulator::Outcome&)>& met) {
     for (const auto seed : seeds) {
         SCOPED_TRACE(seed);
         const auto o = play(troubles, seed);
@@ -430,7 +430,7 @@
     few.replace(few.find("warm = 24"), 9, "warm = 24\nknown_jobs = 2");
     for (std::size_t at = 0; (at = few.find("runs_s = 150", at)) != std::string::npos; ++at)
         few.replace(at, 12, "runs_s = 15");
-    const auto scenario = emulator::parse_scenario(few + R"(
+    const auto scenario = simulator::parse_scenario(few + R"(
 [[troubles]]
 kind = "cancel_at_end"
 at_s = 10
@@ -441,11 +441,11 @@
 at_s = 10
 lasts_s = 230
 )",
-                                                   "ends");
+                                                    "ends");
     spdlog::set_level(spdlog::level::off);
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = emulator::World(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).play();
         EXPECT_GT(o.called_off_at_end, 8u);
         EXPECT_GT(o.words, 100u) << "questions about jobs of which an end had been told";
         EXPECT_GT(o.odd_refused, 100u);
@@ -524,7 +524,7 @@
     spdlog::set_level(spdlog::level::off);
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = emulator::World(emulator::parse_scenario(limited + troubles, "limited"), seed).play();
+        const auto o = simulator::Simulation(simulator::parse_scenario(limited + troubles, "limited"), seed).play();
         const auto free = play(troubles, seed);
         EXPECT_LT(o.started, free.started) << "the limit binds";
         EXPECT_GT(o.cancelled_running, 5u);
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -3,7 +3,10 @@
 
 #include <gtest/gtest.h>
 
-#include "world.hpp"
+#include "model/heartbeat.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
@@ -13,31 +16,31 @@
 
 struct FencerStory : ::testing::Test, cloud::Cloud, worker::Workers {
     TimePoint now{std::chrono::seconds(1000)};
-    const bool emulated = (wire::Clock::emulated = &now) != nullptr;
+    const bool simulated = (model::Clock::simulated = &now) != nullptr;
     FencerStory() { net::asio::co_spawn(io, fencer.run(), net::asio::detached); }
-    ~FencerStory() override { wire::Clock::emulated = nullptr; }
+    ~FencerStory() override { model::Clock::simulated = nullptr; }
 
     net::asio::io_context io;
     config::Settings cluster = settings();
     std::map<std::string, std::set<std::string>> placed;  // job -> machines, on record
     std::map<std::string, std::set<std::string>> holds;   // machine -> jobs
     std::set<std::string> hanging, returned, asked;
-    bool somebody_knows = false, cloud_answers = true, blind = false;
+    bool somebody_knows = false, cloud_answers = true, cut_off_from_store = false;
     Fencer fencer{io.get_executor(),
                   *this,
                   *this,
                   cluster,
                   {[this](TimePoint) { return somebody_knows; }, [this](const std::string& uid) { return placed[uid]; },
-                   [this] { return blind; }}};
+                   [this] { return cut_off_from_store; }}};
 
-    net::awaitable<std::optional<std::vector<wire::MachineType>>> catalog() override { co_return std::nullopt; }
-    net::awaitable<std::optional<std::vector<wire::ListedMachine>>> machines() override {
+    net::awaitable<std::optional<std::vector<model::MachineType>>> catalog() override { co_return std::nullopt; }
+    net::awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override {
         if (!cloud_answers) co_return std::nullopt;
-        std::vector<wire::ListedMachine> out;
+        std::vector<model::ListedMachine> out;
         for (const auto& [name, jobs] : holds) {
-            wire::ListedMachine m;
+            model::ListedMachine m;
             m.name = m.addr = name;
-            m.status = wire::MachineStatus::running;
+            m.status = model::MachineStatus::running;
             out.push_back(m);
         }
         co_return out;
@@ -53,15 +56,15 @@
         }
         co_return true;
     }
-    net::awaitable<std::optional<wire::WorkerReport>> status(std::string address) override {
+    net::awaitable<std::optional<model::Heartbeat>> status(std::string address) override {
         asked.insert(address);
         if (hanging.contains(address)) {
             co_await net::sleep_for(1500ms);
             co_return std::nullopt;
         }
-        wire::WorkerReport r;
+        model::Heartbeat r;
         for (const auto& uid : holds[address]) {
-            wire::TaskReport t;
+            model::TaskReport t;
             t.id = {uid, 0};
             t.status = TaskStatus::running;
             r.tasks.push_back(t);
@@ -69,7 +72,7 @@
         co_return r;
     }
     void pass(Seconds seconds) {
-        const auto until = now + wire::to_clock(seconds);
+        const auto until = now + model::to_clock(seconds);
         while (now < until) {
             now += 10ms;
             io.restart();
@@ -152,7 +155,7 @@
 
 // All controllers have ended in an outage: nobody knows what was cancelled before.
 TEST_F(FencerStory, ran_cancelled_who_knows_nothing_fences_what_has_not_been_heard_after_half_of_the_time) {
-    blind = true;
+    cut_off_from_store = true;
     holds = {{"n-1", {"run-1"}}, {"n-2", {"run-2"}}, {"n-3", {"run-3"}}};
     hanging = {"n-1", "n-2"};
     pass(Seconds(5));
@@ -161,7 +164,7 @@
     EXPECT_TRUE(asked.empty());
     pass(Seconds(8));
     EXPECT_EQ(returned, std::set<std::string>{"n-2"}) << "what hangs since it was heard loses its lease first";
-    blind = false;
+    cut_off_from_store = false;
     pass(cancel());
     EXPECT_EQ(returned, std::set<std::string>{"n-2"});
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,13 +1,16 @@
 // What one leader leaves to the next, and who looks after workers while there is none.
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
 #include "scheduler/follower_leases.hpp"
 #include "scheduler/handover_hints.hpp"
-#include "world.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
-using wire::Cause;
-using wire::MachineNote;
-using wire::Shape;
+using model::ExitReason;
+using model::JobKind;
+using wire::MachineHint;
 
 namespace {
 
@@ -18,30 +21,30 @@
     return w;
 }
 
-std::vector<MachineNote> many_notes(int n) {
-    std::vector<MachineNote> out;
-    const auto image = [](int k) { return MachineNote::Image{"image-" + std::to_string(k), 4.5 + k}; };
+std::vector<MachineHint> many_notes(int n) {
+    std::vector<MachineHint> out;
+    const auto image = [](int k) { return MachineHint::Image{"image-" + std::to_string(k), 4.5 + k}; };
     for (int i = 0; i < n; ++i)
         out.push_back(
             {"n-" + std::to_string(1000000 + i * 7919), {image(i * 31 % 17), image(20 + i % 13)}, i % 50 == 0});
     return out;
 }
 
-std::vector<state::Item> as_items(const std::vector<state::Change>& pages) {
-    std::vector<state::Item> out;
+std::vector<state::KeyValue> as_items(const std::vector<state::Change>& pages) {
+    std::vector<state::KeyValue> out;
     for (const auto& p : pages)
         if (p.value) out.push_back({p.key, *p.value, 1});
     return out;
 }
 
-state::Item outcome(const std::string& uid, const char* state) {
+state::KeyValue outcome(const std::string& uid, const char* state) {
     return {scheduler::outcome_key(uid), boost::json::object{{"state", state}}, 1};
 }
 
-wire::WorkerReport with_task(const std::string& uid) {
-    wire::WorkerReport r;
+model::Heartbeat with_task(const std::string& uid) {
+    model::Heartbeat r;
     r.machine = "n-000001";
-    wire::TaskReport t;
+    model::TaskReport t;
     t.id = {uid, 0};
     t.attempt = 3;
     t.status = TaskStatus::running;
@@ -50,14 +53,14 @@
 }
 
 // A gang of two, a whole machine each, placed by a first leader.
-bool place_gang(World& w, Worker& m1, Worker& m2) {
+bool place_gang(SchedulerHarness& w, Worker& m1, Worker& m2) {
     w.elect();
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
     w.accept(gang);
     w.settle();
     for (auto* m : {&m1, &m2})
-        for (int i = 0; i < 2; ++i) w.beat(*m);
+        for (int i = 0; i < 2; ++i) w.heartbeat(*m);
     return w.place();
 }
 
@@ -76,13 +79,13 @@
         follower.lost_track(now);
         watch(settings.cancel);
     }
-    std::optional<std::vector<Order>> asked_twice(const wire::WorkerReport& r) {
+    std::optional<std::vector<Command>> asked_twice(const model::Heartbeat& r) {
         EXPECT_FALSE(follower.answer(r, now)) << "it may reach the leader, and is sent there first";
         return follower.answer(r, now);
     }
 };
 
-struct Zones : ::testing::Test, World {
+struct Zones : ::testing::Test, SchedulerHarness {
     std::vector<Worker> here, there;
     Zones() {
         for (int i = 0; i < 20; ++i) {
@@ -98,8 +101,8 @@
             pass(Seconds(1));
             for (std::size_t i = 0; i < here.size(); ++i)
                 if ((static_cast<int>(i) + second) % 3 == 0) {
-                    beat(here[i]);
-                    if (i >= silent_there) beat(there[i]);
+                    heartbeat(here[i]);
+                    if (i >= silent_there) heartbeat(there[i]);
                 }
         }
     }
@@ -114,37 +117,37 @@
 
 TEST(Notes, a_page_says_what_was_noted) {
     const auto notes = many_notes(40);
-    EXPECT_EQ(wire::decode_notes(wire::encode_notes(notes)), notes);
-    EXPECT_TRUE(wire::decode_notes(wire::encode_notes({})).empty());
+    EXPECT_EQ(wire::decode_machine_hints(wire::encode_machine_hints(notes)), notes);
+    EXPECT_TRUE(wire::decode_machine_hints(wire::encode_machine_hints({})).empty());
 }
 
 TEST(Notes, damaged_text_is_refused) {
-    auto text = wire::encode_notes(many_notes(40));
-    EXPECT_THROW(wire::decode_notes("no page"), wire::BadBody);
-    EXPECT_THROW(wire::decode_notes(text.substr(0, text.size() / 2)), wire::BadBody);
+    auto text = wire::encode_machine_hints(many_notes(40));
+    EXPECT_THROW(wire::decode_machine_hints("no page"), wire::DecodeError);
+    EXPECT_THROW(wire::decode_machine_hints(text.substr(0, text.size() / 2)), wire::DecodeError);
     text[text.size() / 2] = text[text.size() / 2] == 'A' ? 'B' : 'A';
     try {
-        wire::decode_notes(text);  // what still unpacks is advice like any other
-    } catch (const wire::BadBody&) {
+        wire::decode_machine_hints(text);  // what still unpacks is advice like any other
+    } catch (const wire::DecodeError&) {
     }
 }
 
 TEST(Notes, pages_fit_into_values_and_only_what_changed_is_written_again) {
     auto settings = test::settings();
     settings.limits.value_bytes = 2048;
-    const state::Form form(settings);
-    scheduler::HandoverHints book(form);
+    const state::RecordFormat record_format(settings);
+    scheduler::HandoverHints book(record_format);
     auto notes = many_notes(1500);
     const auto pages = book.pages(notes);
     ASSERT_GT(pages.size(), 2u);
     for (const auto& p : pages) {
-        EXPECT_TRUE(form.fits(*p.value));
+        EXPECT_TRUE(record_format.fits(*p.value));
         book.written(p);
     }
     EXPECT_TRUE(book.pages(notes).empty());
-    notes.back().suspect = !notes.back().suspect;
+    notes.back().quarantined = !notes.back().quarantined;
     EXPECT_EQ(book.pages(notes).size(), 1u);
-    scheduler::HandoverHints next(form);
+    scheduler::HandoverHints next(record_format);
     EXPECT_EQ(next.read(as_items(pages)).size(), 1500u);
     notes.resize(3);
     const auto fewer = next.pages(notes);
@@ -154,46 +157,46 @@
 
 TEST(Notes, one_page_that_cannot_be_read_spoils_no_other) {
     auto settings = test::settings();
-    const state::Form form(settings);
-    auto items = as_items(scheduler::HandoverHints(form).pages(many_notes(600)));
+    const state::RecordFormat record_format(settings);
+    auto items = as_items(scheduler::HandoverHints(record_format).pages(many_notes(600)));
     ASSERT_GE(items.size(), 2u);
     items.front().value = 7;
-    EXPECT_FALSE(scheduler::HandoverHints(form).read(items).empty());
+    EXPECT_FALSE(scheduler::HandoverHints(record_format).read(items).empty());
 }
 
 // After each hand-over tasks were placed as if no machine held any image, and fetched for a minute or two what lay on
 // the machine beside.
 TEST(Notes, a_new_leader_places_where_the_image_lies) {
-    World w;
+    SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     w.elect();
-    auto first = job("run-1", Shape::array, 1);
+    auto first = job("run-1", JobKind::array, 1);
     first.image_gb = 5;
     w.accept(first);
     w.settle();
-    w.beat(m2);
-    w.beat(m2);
+    w.heartbeat(m2);
+    w.heartbeat(m2);
     ASSERT_TRUE(w.place());
-    w.beat(m2);
+    w.heartbeat(m2);
     m2.run_all();
-    w.beat(m2);
-    m2.finish("run-1", 0, Cause::done);
-    w.beat(m2);
+    w.heartbeat(m2);
+    m2.finish("run-1", 0, ExitReason::done);
+    w.heartbeat(m2);
     w.commit();
-    const auto notes = w.leader->ledger().notes();
+    const auto notes = w.leader->inventory().notes();
     ASSERT_EQ(notes.size(), 1u);
     EXPECT_EQ(notes[0].name, "n-000002");
     for (const bool told : {false, true}) {
         w.elect();
         for (auto* m : {&m1, &m2})
-            for (int i = 0; i < 2; ++i) w.beat(*m);
-        if (told) w.leader->ledger().recall(notes);
+            for (int i = 0; i < 2; ++i) w.heartbeat(*m);
+        if (told) w.leader->inventory().recall(notes);
         auto next = first;
         next.uid = told ? "run-3" : "run-2";
         w.accept(next);
         w.settle();
-        w.beat(m1);
-        w.beat(m2);
+        w.heartbeat(m1);
+        w.heartbeat(m2);
         ASSERT_TRUE(w.place());
         EXPECT_EQ(w.machine_of(next.uid, 0), told ? "n-000002" : "n-000001");
         w.cancel(next.uid);
@@ -201,32 +204,32 @@
 }
 
 TEST(Notes, of_machines_that_report_later_are_kept_until_then_and_own_eyes_count_more) {
-    fleet::Ledger ledger;
-    ledger.set_types(types());
-    ledger.recall({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
-    EXPECT_EQ(ledger.find("n-000001"), nullptr) << "a note is no machine";
-    auto& m = ledger.add("n-000001", "small", "a", false, TimePoint{1s});
-    EXPECT_TRUE(m.suspect);
+    fleet::MachineInventory inventory;
+    inventory.set_types(types());
+    inventory.recall({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
+    EXPECT_EQ(inventory.find("n-000001"), nullptr) << "a note is no machine";
+    auto& m = inventory.add("n-000001", "small", "a", false, TimePoint{1s});
+    EXPECT_TRUE(m.quarantined);
     ASSERT_EQ(m.images.size(), 2u);
-    ledger.remove("n-000001");
-    ledger.recall({{"n-000001", {}, true}});
-    EXPECT_EQ(ledger.find("n-000001"), nullptr);
+    inventory.remove("n-000001");
+    inventory.recall({{"n-000001", {}, true}});
+    EXPECT_EQ(inventory.find("n-000001"), nullptr);
 }
 
 // Jobs that had waited for minutes were the youngest after each hand-over.
 TEST(Waiting, goes_on_under_a_new_leader) {
-    World w;
-    auto spec = job("run-1", Shape::array, 1);
+    SchedulerHarness w;
+    auto spec = job("run-1", JobKind::array, 1);
     spec.accepted_ms = w.wall_ms;
     w.accept(spec);
     w.elect();
     EXPECT_EQ(w.leader->job("run-1")->arrived, w.now) << "where the time of day is not told";
     for (const std::int64_t at : {w.wall_ms + 90'000, w.wall_ms - 5'000}) {
-        Scheduler next(w.settings, w.tunables, w.form, 99, 1, w.now);
+        Scheduler next(w.settings, w.tunables, w.record_format, 99, 1, w.now);
         next.catalog(types());
         next.load(w.keys.range(scheduler::work_prefix), w.now, at);
         const auto waited = w.now - next.job("run-1")->arrived;
-        EXPECT_EQ(waited, at > w.wall_ms ? wire::Clock::duration(90s) : wire::Clock::duration(0))
+        EXPECT_EQ(waited, at > w.wall_ms ? model::Clock::duration(90s) : model::Clock::duration(0))
             << "a clock that runs behind makes nobody older";
     }
 }
@@ -234,56 +237,56 @@
 // Riga's loss: the member whose report let the gang regroup was answered with the new run alone, refused it (in_use),
 // and the gang failed and fetched again on other machines.
 TEST(Gangs, a_member_that_waits_under_the_old_attempt_makes_way_in_the_answer_that_was_held) {
-    World w;
+    SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     ASSERT_TRUE(place_gang(w, m1, m2));
-    w.beat(m1);
-    w.beat(m2);
+    w.heartbeat(m1);
+    w.heartbeat(m2);
     const auto late = m2.tasks.at(0).id.index;
     m1.tasks.at(0).status = TaskStatus::waiting;
-    w.beat(m1);
-    m1.finish("run-1", m1.tasks.at(0).id.index, Cause::alone);
-    w.beat(m1);
+    w.heartbeat(m1);
+    m1.finish("run-1", m1.tasks.at(0).id.index, ExitReason::gang_incomplete);
+    w.heartbeat(m1);
     m2.tasks.at(0).status = TaskStatus::waiting;
     const auto report = m2.report();
     ASSERT_TRUE(w.leader->report(report, w.now)->empty()) << "the new attempt is not on record yet";
     EXPECT_TRUE(w.leader->runs(report).empty());
     w.commit();
-    const auto orders = w.leader->runs(report);
-    ASSERT_EQ(orders.size(), 2u);
-    EXPECT_EQ(orders[0].verb, Verb::kill);
-    EXPECT_EQ(orders[0].attempt, 1u);
-    EXPECT_EQ(orders[1].verb, Verb::run);
-    EXPECT_EQ(orders[1].attempt, 2u);
-    EXPECT_EQ(orders[1].id.index, late);
+    const auto commands = w.leader->runs(report);
+    ASSERT_EQ(commands.size(), 2u);
+    EXPECT_EQ(commands[0].type, CommandType::kill);
+    EXPECT_EQ(commands[0].attempt, 1u);
+    EXPECT_EQ(commands[1].type, CommandType::run);
+    EXPECT_EQ(commands[1].attempt, 2u);
+    EXPECT_EQ(commands[1].id.index, late);
 }
 
 TEST(Gangs, a_member_that_gave_up_waiting_has_its_image_for_a_new_leader_too) {
-    World w;
+    SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     ASSERT_TRUE(place_gang(w, m1, m2));
-    w.beat(m1);
-    m1.finish("run-1", m1.tasks.at(0).id.index, Cause::alone);
+    w.heartbeat(m1);
+    m1.finish("run-1", m1.tasks.at(0).id.index, ExitReason::gang_incomplete);
     w.elect();
-    w.beat(m1);
+    w.heartbeat(m1);
     EXPECT_EQ(w.leader->job("run-1")->parked, 1u);
-    ASSERT_EQ(w.leader->ledger().notes().size(), 1u);
-    EXPECT_EQ(w.leader->ledger().notes()[0].name, "n-000001");
+    ASSERT_EQ(w.leader->inventory().notes().size(), 1u);
+    EXPECT_EQ(w.leader->inventory().notes()[0].name, "n-000001");
 }
 
 TEST_F(Watching, a_worker_that_comes_back_from_the_leader_unheard_keeps_its_lease) {
-    const auto orders = asked_twice(with_task("run-1"));
-    ASSERT_TRUE(orders);
-    EXPECT_TRUE(orders->empty()) << "nothing is given to it, and nothing taken";
+    const auto commands = asked_twice(with_task("run-1"));
+    ASSERT_TRUE(commands);
+    EXPECT_TRUE(commands->empty()) << "nothing is given to it, and nothing taken";
 }
 
 TEST_F(Watching, cancelled_work_is_stopped) {
     follower.watched({outcome("run-1", "aborted"), outcome("run-2", "done")}, now);
-    const auto orders = asked_twice(with_task("run-1"));
-    ASSERT_TRUE(orders);
-    ASSERT_EQ(orders->size(), 1u);
-    EXPECT_EQ(orders->at(0).verb, Verb::kill);
-    EXPECT_EQ(orders->at(0).attempt, 3u);
+    const auto commands = asked_twice(with_task("run-1"));
+    ASSERT_TRUE(commands);
+    ASSERT_EQ(commands->size(), 1u);
+    EXPECT_EQ(commands->at(0).type, CommandType::kill);
+    EXPECT_EQ(commands->at(0).attempt, 3u);
     EXPECT_TRUE(follower.answer(with_task("run-2"), now)->empty());
 }
 
@@ -292,10 +295,10 @@
 TEST_F(Watching, it_falls_silent_while_the_lease_still_ends_in_time) {
     const auto looked = now;
     TimePoint last{};
-    for (; now < looked + wire::to_clock(settings.cancel); now += 500ms)
+    for (; now < looked + model::to_clock(settings.cancel); now += 500ms)
         if (follower.answer(with_task("run-1"), now)) last = now;
     ASSERT_GT(last, looked);
-    EXPECT_LT(last + wire::to_clock(settings.lease), looked + wire::to_clock(settings.cancel));
+    EXPECT_LT(last + model::to_clock(settings.lease), looked + model::to_clock(settings.cancel));
 }
 
 TEST_F(Watching, what_was_cancelled_before_it_watched_may_still_run_so_it_waits) {
@@ -334,12 +337,12 @@
     elect();
     live(12, 0);
     live(6, 20);
-    accept(job("run-1", Shape::array, 400));
+    accept(job("run-1", JobKind::array, 400));
     live(6, 20);
     place();
-    const auto orders = leader->rent(now);
-    ASSERT_FALSE(orders.empty());
-    for (const auto& o : orders) EXPECT_EQ(o.pool.zone, "a");
+    const auto commands = leader->rent(now);
+    ASSERT_FALSE(commands.empty());
+    for (const auto& o : commands) EXPECT_EQ(o.pool.zone, "a");
 }
 
 }  // namespace flintdale::test
--- a/tests/incarnations_test.cpp
+++ b/tests/incarnations_test.cpp
@@ -3,9 +3,9 @@
 
 #include <gtest/gtest.h>
 
-#include "emulator/world.hpp"
 #include "net/listen.hpp"
-#include "peer/link.hpp"
+#include "peer/peer_connections.hpp"
+#include "simulator/simulation.hpp"
 
 namespace flintdale::test {
 
@@ -26,10 +26,10 @@
 }
 
 TEST(LivesStory, a_life_travels_with_every_message) {
-    peer::Beat beat;
-    beat.member = "one";
-    beat.incarnation = 1'700'000'000'000'123;
-    EXPECT_EQ(peer::decode(peer::encode(beat)).incarnation, beat.incarnation);
+    peer::StatusMessage heartbeat;
+    heartbeat.member = "one";
+    heartbeat.incarnation = 1'700'000'000'000'123;
+    EXPECT_EQ(peer::decode(peer::encode(heartbeat)).incarnation, heartbeat.incarnation);
 }
 
 TEST(PortStory, a_port_that_is_taken_is_named_and_a_free_one_is_had) {
--- a/tests/chain_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -1,46 +1,48 @@
 // Jobs that need others: when they start, and what becomes of them when one is cancelled.
-#include "world.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
-using wire::Cause;
-using wire::Rank;
-using wire::Shape;
+using model::ExitReason;
+using model::JobKind;
+using model::Priority;
 
 namespace {
 
-struct Chain : ::testing::Test, World {
+struct Chain : ::testing::Test, SchedulerHarness {
     Worker m1, m2;
 
     Chain() {
         m2.name = "n-000002";
         m2.zone = "b";
-        form.all_read(state::newest_format);
+        record_format.all_read(state::newest_format);
     }
     void meet(Worker& w) {
-        beat(w);
-        beat(w);
+        heartbeat(w);
+        heartbeat(w);
     }
-    static wire::JobSpec after(const std::string& uid, std::vector<std::string> needs, Shape shape = Shape::array) {
-        auto s = job(uid, shape, 1);
-        s.prerequisites = std::move(needs);
+    static model::JobSpec after(const std::string& uid, std::vector<std::string> needs, JobKind kind = JobKind::array) {
+        auto s = job(uid, kind, 1);
+        s.dependencies = std::move(needs);
         return s;
     }
     void run(const std::string& uid, Worker& w) {
         settle();
         meet(w);
         ASSERT_TRUE(place()) << uid;
-        beat(w);
+        heartbeat(w);
         w.run_all();
-        beat(w);
+        heartbeat(w);
     }
     // Its only task completes, and the leader puts that on record.
     void finish(const std::string& uid, Worker& w) {
-        w.finish(uid, 0, Cause::done);
-        beat(w);
+        w.finish(uid, 0, ExitReason::done);
+        heartbeat(w);
         commit();
         ASSERT_EQ(state_of(uid), "done");
-        beat(w);
+        heartbeat(w);
     }
 };
 
@@ -48,18 +50,18 @@
 
 TEST_F(Chain, too_early_nothing_is_placed_before_all_that_it_needs_is_done_on_record) {
     elect();
-    accept(job("run-1", Shape::array, 2));
+    accept(job("run-1", JobKind::array, 2));
     accept(after("run-2", {"run-1"}));
     settle();
     meet(m1);
     ASSERT_TRUE(place());
-    beat(m1);
+    heartbeat(m1);
     m1.run_all();
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     EXPECT_FALSE(place()) << "one task of two is done";
-    m1.finish("run-1", 1, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 1, ExitReason::done);
+    heartbeat(m1);
     EXPECT_FALSE(leader->place(now)) << "its end is not on record yet";
     commit();
     EXPECT_TRUE(place()) << "and nothing waits for another window";
@@ -68,11 +70,11 @@
 
 TEST_F(Chain, too_early_a_lost_write_of_the_end_is_read_again_before_anything_starts) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     run("run-1", m1);
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     const auto batch = leader->next_batch(1000);
     ASSERT_EQ(keys.commit(batch.txn).outcome, state::Outcome::ok);  // and the answer is lost
     EXPECT_FALSE(leader->place(now));
@@ -83,7 +85,7 @@
 
 TEST_F(Chain, too_early_a_new_leader_waits_until_it_has_read_how_a_prerequisite_ended) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     run("run-1", m1);
     finish("run-1", m1);
     accept(after("run-2", {"run-1"}));
@@ -102,7 +104,7 @@
     // run-1 was cancelled, and its work was not removed before the leader died. The next one knows that it is over and
     // not how, until it reads that.
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     ASSERT_TRUE(cancel("run-1"));
     elect();
@@ -117,10 +119,10 @@
 
 TEST_F(Chain, too_early_a_job_may_be_heard_of_before_the_one_that_it_needs) {
     elect();
-    accept(job("run-9", Shape::array, 1));
+    accept(job("run-9", JobKind::array, 1));
     leader.reset();
     accept(after("run-2", {"run-1"}));
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     elect();
     settle();
     meet(m1);
@@ -131,7 +133,7 @@
 
 TEST_F(Chain, too_early_what_was_placed_once_may_go_on_under_the_next_leader) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     run("run-1", m1);
     finish("run-1", m1);
@@ -140,18 +142,18 @@
     settle();
     meet(m1);
     EXPECT_TRUE(leader->missing().empty());
-    m1.finish("run-2", 0, Cause::stopped);
-    beat(m1);
+    m1.finish("run-2", 0, ExitReason::stopped);
+    heartbeat(m1);
     EXPECT_TRUE(place());
 }
 
 TEST_F(Chain, orphaned_all_that_needs_a_cancelled_job_is_aborted_directly_or_through_others) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     accept(after("run-3", {"run-1"}));
     accept(after("run-4", {"run-2", "run-3"}));
-    accept(job("run-5", Shape::array, 1));
+    accept(job("run-5", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
     commit();
@@ -167,7 +169,7 @@
 
 TEST_F(Chain, orphaned_the_next_leader_goes_on_where_the_last_one_died) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     for (int i = 2; i < 12; ++i) accept(after("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)}));
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
@@ -181,8 +183,8 @@
 
 TEST_F(Chain, orphaned_hundreds_go_before_all_bookkeeping) {
     elect();
-    for (int i = 0; i < 20; ++i) accept(job("run-a" + std::to_string(i), Shape::array, 1));
-    accept(job("run-1", Shape::array, 1));
+    for (int i = 0; i < 20; ++i) accept(job("run-a" + std::to_string(i), JobKind::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     for (int i = 0; i < 300; ++i) accept(after("run-b" + std::to_string(i), {"run-1"}));
     settle();
     meet(m1);
@@ -196,7 +198,7 @@
 
 TEST_F(Chain, orphaned_a_job_accepted_while_another_controller_cancels_what_it_needs) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
     accept(after("run-2", {"run-1"}));  // heard of before the cancellation
     settle();
@@ -210,7 +212,7 @@
 
 TEST_F(Chain, a_cancellation_that_comes_too_late_lets_the_next_job_go_on) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     run("run-1", m1);
     finish("run-1", m1);
@@ -222,34 +224,34 @@
 
 TEST_F(Chain, a_waiting_job_is_cancelled_like_any_and_lends_its_rank_no_more) {
     elect();
-    auto first = job("run-1", Shape::array, 1);
-    first.rank = Rank::idle;
+    auto first = job("run-1", JobKind::array, 1);
+    first.priority = Priority::idle;
     accept(first);
     auto last = after("run-2", {"run-1"});
-    last.rank = Rank::high;
+    last.priority = Priority::high;
     accept(last);
-    EXPECT_EQ(leader->job("run-1")->rank, Rank::high);
+    EXPECT_EQ(leader->job("run-1")->priority, Priority::high);
     ASSERT_TRUE(cancel("run-2"));
     tell("run-2");
     commit();
     EXPECT_EQ(state_of("run-2"), "aborted");
-    EXPECT_EQ(leader->job("run-1")->rank, Rank::idle);
+    EXPECT_EQ(leader->job("run-1")->priority, Priority::idle);
     EXPECT_EQ(state_of("run-1"), "open");
 }
 
 TEST_F(Chain, nothing_is_rented_held_or_stopped_for_a_job_that_waits_and_it_takes_nothing_of_a_limit) {
     elect();
-    auto first = job("run-1", Shape::array, 1);
+    auto first = job("run-1", JobKind::array, 1);
     first.team = "limited";  // two such tasks fill its limit
     accept(first);
-    auto waiting = after("run-2", {"run-1"}, Shape::gang);
+    auto waiting = after("run-2", {"run-1"}, JobKind::gang);
     waiting.tasks = 2;
     waiting.team = "limited";
-    waiting.rank = Rank::critical;
+    waiting.priority = Priority::critical;
     accept(waiting);
-    auto other = job("run-3", Shape::array, 1);
+    auto other = job("run-3", JobKind::array, 1);
     other.team = "limited";
-    other.rank = Rank::idle;
+    other.priority = Priority::idle;
     accept(other);
     settle();
     EXPECT_EQ(leader->rent(now).size(), 1u);
@@ -262,14 +264,14 @@
 
 TEST_F(Chain, the_first_job_of_an_urgent_chain_goes_before_what_is_shorter_and_less_urgent) {
     elect();
-    auto first = job("run-1", Shape::array, 2);
-    first.rank = Rank::idle;
+    auto first = job("run-1", JobKind::array, 2);
+    first.priority = Priority::idle;
     accept(first);
-    auto shorter = job("run-0", Shape::array, 2);
-    shorter.estimate = Seconds(5);
+    auto shorter = job("run-0", JobKind::array, 2);
+    shorter.estimated_runtime = Seconds(5);
     accept(shorter);
     auto last = after("run-2", {"run-1"});
-    last.rank = Rank::high;
+    last.priority = Priority::high;
     accept(last);
     settle();
     meet(m1);
@@ -280,7 +282,7 @@
 
 TEST_F(Chain, times_count_from_when_the_last_prerequisite_was_done_under_the_next_leader_too) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     run("run-1", m1);
     pass(Seconds(300));
--- a/tests/known_jobs_test.cpp
+++ b/tests/known_jobs_test.cpp
@@ -3,12 +3,14 @@
 
 #include <gtest/gtest.h>
 
+#include "model/job.hpp"
+
 namespace flintdale::test {
 
 namespace {
 using api::KnownJobs;
-using wire::JobState;
-api::KnownJob job(JobState state) { return {state, {wire::Shape::array, 3}, {}}; }
+using model::JobState;
+api::KnownJob job(JobState state) { return {state, {model::JobKind::array, 3}, {}}; }
 }  // namespace
 
 TEST(KnownJobsStory, what_was_not_asked_for_the_longest_goes_first) {
--- a/tests/scale_run_test.sh
+++ b/tests/load_test_program_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What flintdale_scale refuses, with 2 and a reason; and that an interrupted run leaves no process behind.
+# What flintdale_load_test refuses, with 2 and a reason; and that an interrupted run leaves no process behind.
 # Usage: scale_run_test.sh PROGRAM SCENARIO
 set -uo pipefail
 ulimit -Sn 20000 2>/dev/null || true
--- a/tests/scale_test.cpp
+++ b/tests/load_test_test.cpp
@@ -4,14 +4,17 @@
 
 #include <fstream>
 
-#include "emulator/fleet.hpp"
-#include "scale/fit.hpp"
-#include "scale/messages.hpp"
-#include "scale/ordered_checker.hpp"
-#include "scale/plan.hpp"
-#include "scale/query.hpp"
-#include "scale/rate_limit.hpp"
-#include "world.hpp"
+#include "load_test/fit.hpp"
+#include "load_test/messages.hpp"
+#include "load_test/ordered_checker.hpp"
+#include "load_test/plan.hpp"
+#include "load_test/query.hpp"
+#include "load_test/rate_limit.hpp"
+#include "model/command.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "simulator/fleet.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
@@ -19,12 +22,12 @@
 
 namespace {
 
-const std::string scenario_file = SCALE_SCENARIO;
+const std::string scenario_file = LOAD_TEST_SCENARIO;
 
-std::string refused(const scale::Overrides& o) {
+std::string refused(const load_test::Overrides& o) {
     try {
-        scale::make_plan(scenario_file, o);
-    } catch (const config::BadSetting& e) {
+        load_test::make_plan(scenario_file, o);
+    } catch (const config::ConfigError& e) {
         return e.what();
     }
     return "";
@@ -50,12 +53,12 @@
 }  // namespace
 
 TEST(ScalePlan, is_of_the_size_that_is_asked_for) {
-    scale::Overrides o;
+    load_test::Overrides o;
     o.workers = 2000;
     o.controllers = 5;
     o.zones = 4;
     o.network = 9;
-    const auto plan = scale::make_plan(scenario_file, o);
+    const auto plan = load_test::make_plan(scenario_file, o);
     EXPECT_EQ(plan.scenario.warm, 2000u);
     EXPECT_EQ(plan.scenario.capacity, 2000u);
     EXPECT_EQ(plan.scenario.types.front().zones.size(), 4u);
@@ -65,15 +68,15 @@
     EXPECT_EQ(settings.teams.size(), plan.teams);
     EXPECT_EQ(settings.listen.host, "127.9.0.4");
     EXPECT_NE(plan.addresses.worker(1).host, plan.addresses.worker(251).host);
-    scale::Overrides half = o;
+    load_test::Overrides half = o;
     half.workers = 1000;
-    EXPECT_NEAR(scale::make_plan(scenario_file, half).scenario.jobs[1].per_minute * 2, plan.scenario.jobs[1].per_minute,
-                1e-6);
+    EXPECT_NEAR(load_test::make_plan(scenario_file, half).scenario.jobs[1].per_minute * 2,
+                plan.scenario.jobs[1].per_minute, 1e-6);
 }
 
 TEST(ScalePlan, what_does_not_fit_is_refused_with_the_reason) {
     const OpenFiles limit(20'000);
-    scale::Overrides o;
+    load_test::Overrides o;
     o.workers = 0;
     EXPECT_NE(refused(o).find("workers"), std::string::npos);
     o.workers = 28'000;
@@ -93,32 +96,33 @@
 }
 
 TEST(ScaleMessages, come_back_as_they_were) {
-    scale::Progress progress;
-    progress.now = wire::TimePoint(123'456'789ns);
+    load_test::Progress progress;
+    progress.now = model::TimePoint(123'456'789ns);
     progress.counts.reports = 7;
     progress.events.push_back(
-        {scale::TaskEvent::Kind::arrives, progress.now, {"run-1", 4}, {"n-1", "large", "zone-00", true}});
+        {load_test::TaskEvent::Kind::arrives, progress.now, {"run-1", 4}, {"n-1", "large", "zone-00", true}});
     progress.tokens.push_back({5, progress.now, true});
     progress.came_up = {"n-1", "n-2"};
-    const auto read =
-        std::get<scale::Progress>(scale::parse_from_workers(scale::to_line(scale::FromWorkers(progress))));
+    const auto read = std::get<load_test::Progress>(
+        load_test::parse_from_workers(load_test::to_line(load_test::FromWorkers(progress))));
     EXPECT_EQ(read.now, progress.now);
     EXPECT_EQ(read.counts.reports, 7u);
     EXPECT_EQ(read.events.at(0).task, progress.events[0].task);
     EXPECT_EQ(read.events.at(0).place.zone, "zone-00");
-    EXPECT_EQ(read.tokens.at(0).token, 5u);
+    EXPECT_EQ(read.tokens.at(0).fencing_token, 5u);
     EXPECT_EQ(read.came_up.size(), 2u);
 
-    scale::UploadJob job{test::job("run-9", wire::Shape::gang, 3), wire::Seconds(12)};
-    const auto uploaded = std::get<scale::UploadJob>(scale::parse_to_workers(scale::to_line(scale::ToWorkers(job))));
+    load_test::UploadJob job{test::job("run-9", model::JobKind::gang, 3), model::Seconds(12)};
+    const auto uploaded =
+        std::get<load_test::UploadJob>(load_test::parse_to_workers(load_test::to_line(load_test::ToWorkers(job))));
     EXPECT_EQ(uploaded.spec.tasks, 3u);
-    EXPECT_EQ(uploaded.runs, wire::Seconds(12));
-    EXPECT_THROW(scale::parse_to_workers("{\"message\":\"dance\"}"), std::exception);
-    EXPECT_THROW(scale::parse_from_workers("{"), std::exception);
+    EXPECT_EQ(uploaded.runs, model::Seconds(12));
+    EXPECT_THROW(load_test::parse_to_workers("{\"message\":\"dance\"}"), std::exception);
+    EXPECT_THROW(load_test::parse_from_workers("{"), std::exception);
 }
 
 TEST(ScaleMessages, latencies_add_up_over_processes) {
-    scale::Latencies a, b;
+    load_test::Latencies a, b;
     for (int i = 0; i < 98; ++i) a.add(1ms);
     b.add(500ms);
     b.add(1000s);
@@ -128,23 +132,23 @@
     EXPECT_NEAR(a.quantile(0.99).count(), 0.5, 0.05);
     EXPECT_GE(a.quantile(1).count(), 99.0);
     EXPECT_EQ(a.since(b).count(), 98u);
-    EXPECT_EQ(scale::Latencies().quantile(0.5).count(), 0);
+    EXPECT_EQ(load_test::Latencies().quantile(0.5).count(), 0);
 }
 
 // A task leaves one machine and arrives on another, in two processes, and the arrival is told first.
 TEST(ScaleChecker, ran_twice_only_what_happened_so_and_not_what_was_told_so) {
     const auto cluster = settings();
-    const wire::TimePoint start{std::chrono::seconds(10)};
+    const model::TimePoint start{std::chrono::seconds(10)};
     for (const bool overlap : {false, true}) {
-        scale::OrderedChecker checker(cluster, start);
-        checker.submitted(test::job("run-1", wire::Shape::array, 1));
-        const emulator::TaskName task{"run-1", 0};
+        load_test::OrderedChecker checker(cluster, start);
+        checker.submitted(test::job("run-1", model::JobKind::array, 1));
+        const simulator::TaskName task{"run-1", 0};
         const auto arrives = [&](std::chrono::milliseconds at, const char* machine) {
-            checker.at(start + at, [=](emulator::Checker& c) { c.arrives(task, {machine, "large", "a", false}); });
+            checker.at(start + at, [=](simulator::Checker& c) { c.arrives(task, {machine, "large", "a", false}); });
         };
         arrives(100ms, "n-1");
         arrives(overlap ? 190ms : 210ms, "n-2");
-        checker.at(start + 200ms, [=](emulator::Checker& c) { c.leaves(task, "n-1"); });
+        checker.at(start + 200ms, [=](simulator::Checker& c) { c.leaves(task, "n-1"); });
         checker.settle(start + 150ms);
         EXPECT_TRUE(checker.checker().broken().empty());
         checker.settle(start + 300ms);
@@ -153,31 +157,31 @@
 }
 
 TEST(ScaleFit, a_line_is_found_and_what_is_no_line_is_said_so) {
-    std::vector<scale::Point> points;
+    std::vector<load_test::Point> points;
     for (const double n : {250.0, 1000.0, 4000.0})
         for (const double error : {-0.1, 0.1}) points.push_back({n, 3 + 0.01 * n + error});
-    const auto line = scale::fit_line(points);
+    const auto line = load_test::fit_line(points);
     EXPECT_NEAR(line.fixed, 3, 0.1);
     EXPECT_NEAR(line.slope, 0.01, 1e-4);
     EXPECT_NEAR(line.residual, 0.1, 0.01);
     EXPECT_TRUE(line.straight());
     EXPECT_EQ(line.runs, 6u);
     for (auto& p : points) p.value = p.workers * p.workers;
-    EXPECT_FALSE(scale::fit_line(points).straight());
-    EXPECT_EQ(scale::fit_line({}).runs, 0u);
+    EXPECT_FALSE(load_test::fit_line(points).straight());
+    EXPECT_EQ(load_test::fit_line({}).runs, 0u);
 }
 
 TEST(ScaleServers, queries_and_limits) {
-    const auto query = scale::parse_query("/kv?starts=c/&from=c/7&page=20");
+    const auto query = load_test::parse_query("/kv?starts=c/&from=c/7&page=20");
     EXPECT_EQ(query.path, "/kv");
     EXPECT_EQ(query.text("starts"), "c/");
     EXPECT_EQ(query.number("page", 5), 20u);
     EXPECT_EQ(query.number("hold_ms", 5), 5u);
-    EXPECT_EQ(scale::parse_query("/ready").values.size(), 0u);
-    EXPECT_THROW(scale::parse_query("/kv?page=x").number("page", 1), std::exception);
+    EXPECT_EQ(load_test::parse_query("/ready").values.size(), 0u);
+    EXPECT_THROW(load_test::parse_query("/kv?page=x").number("page", 1), std::exception);
 
-    wire::TimePoint now{};
-    scale::RateLimit limit(10, 2, now);
+    model::TimePoint now{};
+    load_test::RateLimit limit(10, 2, now);
     EXPECT_TRUE(limit.take(20, now)) << "two seconds' worth at once";
     EXPECT_FALSE(limit.take(1, now));
     EXPECT_TRUE(limit.take(5, now + 500ms));
@@ -186,31 +190,32 @@
 
 // POST /commands by the protocol.
 TEST(EmulatedWorker, carries_out_direct_commands_of_its_session_and_of_no_lower_token) {
-    emulator::Events events(1);
+    simulator::Events events(1);
     const auto cluster = settings();
-    emulator::Scenario scenario;
+    simulator::Scenario scenario;
     scenario.members = {"one"};
-    wire::MachineType type;
+    model::MachineType type;
     type.name = "large";
     type.capacity = {8, 0, 32};
     type.zones = {"a"};
     type.fetch_gb_per_s = 1;
     scenario.types = {type};
-    emulator::Checker checker(events, cluster);
-    emulator::Fleet fleet(events, checker, cluster, scenario,
-                          [](std::size_t, const emulator::Origin&, net::Request, wire::Seconds, emulator::Answered) {});
-    const auto spec = test::job("run-1", wire::Shape::array, 1);
+    simulator::Checker checker(events, cluster);
+    simulator::Fleet fleet(
+        events, checker, cluster, scenario,
+        [](std::size_t, const simulator::Origin&, net::Request, model::Seconds, simulator::Answered) {});
+    const auto spec = test::job("run-1", model::JobKind::array, 1);
     checker.submitted(spec);
-    fleet.upload(spec, wire::Seconds(60));
+    fleet.upload(spec, model::Seconds(60));
     fleet.warm_up(1);
     events.advance(10ms);
-    const auto command = [&](std::uint64_t token, std::uint64_t tenure) {
-        std::vector<wire::Order> orders{{wire::Verb::run, {"run-1", 0}, 1, wire::Seconds(0)}};
-        return fleet.command("n-000001", wire::direct_commands(token, tenure, orders)).value();
+    const auto command = [&](std::uint64_t fencing_token, std::uint64_t incarnation) {
+        std::vector<model::Command> commands{{model::CommandType::run, {"run-1", 0}, 1, model::Seconds(0)}};
+        return fleet.command("n-000001", wire::direct_commands(fencing_token, incarnation, commands)).value();
     };
     EXPECT_EQ(command(5, 2).status, 409u) << "of another session";
     EXPECT_EQ(command(5, 1).status, 200u);
-    EXPECT_EQ(wire::parse_report(command(5, 1).body).tasks.size(), 1u) << "a repetition does nothing";
+    EXPECT_EQ(wire::parse_heartbeat(command(5, 1).body).tasks.size(), 1u) << "a repetition does nothing";
     EXPECT_EQ(command(4, 1).status, 409u);
     EXPECT_EQ(fleet.command("n-000001", "{\"orders\":[]}").value().status, 400u);
     fleet.die("n-000001");
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -3,6 +3,7 @@
 
 #include <random>
 
+#include "model/job.hpp"
 #include "placement/planner.hpp"
 
 namespace flintdale::test {
@@ -69,7 +70,7 @@
     JobHosts job;
     auto p = machines();
     EXPECT_EQ(place_all(p, s, 1, job), std::vector<Id>{1});
-    s.rank = wire::Rank::high;
+    s.priority = model::Priority::high;
     JobHosts urgent;
     p = machines();
     EXPECT_EQ(place_all(p, s, 5, urgent), (std::vector<Id>{2, 2, 2, 2, 1}));
@@ -93,7 +94,7 @@
 // Replicas of one service on one machine go with it, and so do most machines that hold its image.
 TEST(Placement, a_services_replicas_spread_unless_its_image_is_sooner_where_one_is) {
     auto service = spec(1, 10);
-    service.shape = wire::Shape::service;
+    service.kind = model::JobKind::service;
     service.tasks = 4;
     Planner spread({host(1, 4, 100, 0), host(2, 4, 100, 0)}, 0.1);
     JobHosts job;
@@ -209,15 +210,15 @@
                 if (roll(3) == 0) h.images.push_back(directory().image(image));
                 if (roll(5) == 0) h.fetching.push_back({directory().image(image), 1.0 + roll(9)});
             }
-            if (roll(6) == 0) h.fetching_for = wire::Rank::critical;
-            if (roll(6) == 0) h.held_for = wire::Rank::normal;
+            if (roll(6) == 0) h.fetching_for = model::Priority::critical;
+            if (roll(6) == 0) h.held_for = model::Priority::normal;
             hosts.push_back(h);
         }
         auto s = spec(roll(3), 5 + 5 * roll(5));
         s.image = images[roll(3)];
         s.tasks = 1 + roll(12);
-        s.shape = roll(2) ? wire::Shape::service : wire::Shape::array;
-        s.rank = roll(2) ? wire::Rank::normal : wire::Rank::critical;
+        s.kind = roll(2) ? model::JobKind::service : model::JobKind::array;
+        s.priority = roll(2) ? model::Priority::normal : model::Priority::critical;
         s.spot = roll(2);
         s.spread = roll(3) == 0;
         s.one_zone = !s.spread && roll(3) == 0;
@@ -267,15 +268,15 @@
 }
 
 TEST(Queue, rank_then_window_then_shortest_less_ageing) {
-    const auto w = [](wire::Rank rank, std::int64_t window, double length, double waited, const char* uid) {
-        return Waiting{rank, window, Seconds(length), Seconds(waited), uid};
+    const auto w = [](model::Priority priority, std::int64_t window, double length, double waited, const char* uid) {
+        return Waiting{priority, window, Seconds(length), Seconds(waited), uid};
     };
-    using wire::Rank;
-    EXPECT_TRUE(before(w(Rank::critical, 9, 900, 0, "a"), w(Rank::normal, 1, 1, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Rank::normal, 1, 900, 0, "a"), w(Rank::normal, 2, 1, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Rank::normal, 1, 10, 0, "a"), w(Rank::normal, 1, 20, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Rank::normal, 1, 30, 25, "a"), w(Rank::normal, 1, 20, 0, "b"), 1));
-    EXPECT_FALSE(before(w(Rank::normal, 1, 30, 25, "a"), w(Rank::normal, 1, 20, 0, "b"), 0));
+    using model::Priority;
+    EXPECT_TRUE(before(w(Priority::critical, 9, 900, 0, "a"), w(Priority::normal, 1, 1, 0, "b"), 1));
+    EXPECT_TRUE(before(w(Priority::normal, 1, 900, 0, "a"), w(Priority::normal, 2, 1, 0, "b"), 1));
+    EXPECT_TRUE(before(w(Priority::normal, 1, 10, 0, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
+    EXPECT_TRUE(before(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
+    EXPECT_FALSE(before(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 0));
 }
 
 }  // namespace flintdale::test
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -2,21 +2,24 @@
 #include <boost/random/mersenne_twister.hpp>
 
 #include "election/members.hpp"
-#include "fake_store.hpp"
-#include "quota/ledger.hpp"
+#include "model/job.hpp"
+#include "model/resources.hpp"
+#include "model/task.hpp"
+#include "quota/quota_accounting.hpp"
+#include "support/fake_store.hpp"
 
 namespace flintdale::test {
 
 namespace {
 
+using model::JobKind;
 using quota::Amount;
 using quota::Figures;
-using quota::Ledger;
+using quota::QuotaAccounting;
 using quota::Table;
-using wire::Shape;
 
-wire::JobSpec of_team(const std::string& uid, const std::string& team, std::uint32_t tasks, std::int64_t accepted) {
-    auto s = job(uid, Shape::array, tasks);
+model::JobSpec of_team(const std::string& uid, const std::string& team, std::uint32_t tasks, std::int64_t accepted) {
+    auto s = job(uid, JobKind::array, tasks);
     s.team = team;
     s.accepted_ms = accepted;
     return s;
@@ -36,8 +39,8 @@
 }  // namespace
 
 TEST(QuotaStory, a_limit_leaves_room_for_whole_tasks_and_an_unknown_team_has_none) {
-    Ledger l(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
-    const wire::Resources need{4, 1, 10};
+    QuotaAccounting l(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
+    const model::Resources need{4, 1, 10};
     EXPECT_EQ(l.room("red", need, 100), 2u) << "CPUs bind first";
     l.placed("red", need);
     EXPECT_EQ(l.room("red", need, 100), 1u);
@@ -51,11 +54,11 @@
 // No order of news makes the use other than a plain count of what is placed.
 TEST(QuotaStory, the_use_is_what_a_plain_recount_finds_after_any_news) {
     boost::random::mt19937 luck(7);
-    Ledger l(Table{{"red", {{50, 20}, {}}}, {"blue", {{0, 9}, {}}}});
-    std::vector<std::pair<std::string, wire::Resources>> placed;
+    QuotaAccounting l(Table{{"red", {{50, 20}, {}}}, {"blue", {{0, 9}, {}}}});
+    std::vector<std::pair<std::string, model::Resources>> placed;
     for (int i = 0; i < 20'000; ++i) {
         const std::string who = luck() % 2 ? "red" : "blue";
-        const wire::Resources need{0.1 * (1 + luck() % 40), 1.0 * (luck() % 3), 1};
+        const model::Resources need{0.1 * (1 + luck() % 40), 1.0 * (luck() % 3), 1};
         if (luck() % 5 < 3 && l.room(who, need, 1) == 1) {
             l.placed(who, need);
             placed.emplace_back(who, need);
@@ -79,7 +82,7 @@
 }
 
 TEST(QuotaStory, a_job_is_guaranteed_if_it_fits_beside_all_that_its_team_had_accepted_before) {
-    Ledger l(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
+    QuotaAccounting l(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
     l.opened(of_team("run-2", "red", 2, 20));
     l.opened(of_team("run-1", "red", 1, 10));
     l.opened(of_team("run-3", "red", 3, 30));
@@ -99,7 +102,7 @@
 }
 
 TEST(QuotaStory, nobody_is_brought_below_his_own_guarantee) {
-    Ledger l(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
+    QuotaAccounting l(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
     for (int i = 0; i < 3; ++i) l.placed("blue", {4, 1, 10});
     EXPECT_TRUE(l.may_stop("blue", {}, {4, 1, 10}));
     EXPECT_FALSE(l.may_stop("blue", {4, 1}, {4, 1, 10}));
@@ -116,27 +119,27 @@
 }
 
 TEST(QuotaStory, over_a_lowered_limit_nothing_is_stopped_and_nothing_starts) {
-    World w;
+    SchedulerHarness w;
     w.settings = with_teams({team("team", 0, 6)});
     w.elect();
     w.accept(of_team("run-1", "team", 8, 1));
     w.settle();
     Worker m;
     m.type = "large";
-    w.beat(m);
-    w.beat(m);
+    w.heartbeat(m);
+    w.heartbeat(m);
     ASSERT_TRUE(w.place());
     EXPECT_EQ(w.leader->job("run-1")->placed, 6u);
-    w.beat(m);
+    w.heartbeat(m);
     m.run_all();
     w.leader->set_teams(quota::table_of({team("team", 0, 4)}));
-    EXPECT_TRUE(w.beat(m).empty()) << "what runs goes on";
-    m.finish("run-1", 0, wire::Cause::done);
-    w.beat(m);
+    EXPECT_TRUE(w.heartbeat(m).empty()) << "what runs goes on";
+    m.finish("run-1", 0, model::ExitReason::done);
+    w.heartbeat(m);
     w.pass(Seconds(5));
     EXPECT_FALSE(w.place());
-    for (const std::uint32_t i : {1u, 2u}) m.finish("run-1", i, wire::Cause::done);
-    w.beat(m);
+    for (const std::uint32_t i : {1u, 2u}) m.finish("run-1", i, model::ExitReason::done);
+    w.heartbeat(m);
     w.pass(Seconds(5));
     EXPECT_TRUE(w.place());
     EXPECT_EQ(w.leader->job("run-1")->placed, 4u);
@@ -144,28 +147,28 @@
 
 // A machine that falls silent still holds what it may hold.
 TEST(QuotaStory, quota_a_silent_machine_counts_until_the_cloud_says_it_is_gone) {
-    World w;
+    SchedulerHarness w;
     w.settings = with_teams({team("team", 0, 2)});
     w.elect();
     w.accept(of_team("run-1", "team", 4, 1));
     w.settle();
     Worker silent, other;
     other.name = "n-000002";
-    w.beat(silent);
-    w.beat(silent);
+    w.heartbeat(silent);
+    w.heartbeat(silent);
     ASSERT_TRUE(w.place());
-    w.beat(silent);
-    w.beat(other);
-    w.beat(other);
+    w.heartbeat(silent);
+    w.heartbeat(other);
+    w.heartbeat(other);
     w.pass(Seconds(100));
-    w.beat(other);
+    w.heartbeat(other);
     EXPECT_FALSE(w.place());
     // Under the next leader as well, which knows the placements from the records only.
     w.elect();
-    w.beat(other);
-    w.beat(other);
+    w.heartbeat(other);
+    w.heartbeat(other);
     w.pass(Seconds(100));
-    w.beat(other);
+    w.heartbeat(other);
     EXPECT_FALSE(w.place());
     w.leader->released({silent.name}, w.now);
     EXPECT_TRUE(w.place());
@@ -173,19 +176,19 @@
 }
 
 TEST(QuotaStory, what_is_guaranteed_comes_before_other_teams_whatever_their_rank) {
-    World w;
+    SchedulerHarness w;
     w.settings = with_teams({team("team", 0), team("sure", 2)});
     w.elect();
     auto high = of_team("run-1", "team", 2, 1);
-    high.rank = wire::Rank::high;
+    high.priority = model::Priority::high;
     w.accept(high);
     auto low = of_team("run-2", "sure", 2, 2);
-    low.rank = wire::Rank::idle;
+    low.priority = model::Priority::idle;
     w.accept(low);
     w.settle();
     Worker m;
-    w.beat(m);
-    w.beat(m);
+    w.heartbeat(m);
+    w.heartbeat(m);
     ASSERT_TRUE(w.place());
     EXPECT_EQ(w.machine_of("run-2", 0), m.name);
     EXPECT_EQ(w.machine_of("run-2", 1), m.name);
@@ -193,31 +196,31 @@
 }
 
 TEST(QuotaStory, for_a_guarantee_work_beyond_others_guarantees_is_stopped_and_no_more_than_that) {
-    World w;
+    SchedulerHarness w;
     w.settings = with_teams({team("team", 0), team("sure", 2)});
     w.elect();
     auto big = of_team("run-1", "team", 4, 1);
-    big.rank = wire::Rank::high;
+    big.priority = model::Priority::high;
     w.accept(big);
     w.settle();
     Worker m1, m2;
     m2.name = "n-000002";
-    for (auto* m : {&m1, &m2, &m1, &m2}) w.beat(*m);
+    for (auto* m : {&m1, &m2, &m1, &m2}) w.heartbeat(*m);
     ASSERT_TRUE(w.place());
     for (auto* m : {&m1, &m2}) {
-        w.beat(*m);
+        w.heartbeat(*m);
         m->run_all();
-        w.beat(*m);
+        w.heartbeat(*m);
     }
     auto low = of_team("run-2", "sure", 2, 2);
-    low.rank = wire::Rank::idle;
+    low.priority = model::Priority::idle;
     w.accept(low);
     w.settle();
     unsigned stopped = 0;
     for (int round = 0; round < 3; ++round) {
         for (auto* m : {&m1, &m2}) {
-            for (const auto& o : w.beat(*m)) stopped += o.verb == Verb::kill;
-            w.beat(*m);
+            for (const auto& o : w.heartbeat(*m)) stopped += o.type == CommandType::kill;
+            w.heartbeat(*m);
         }
         w.place();
         w.pass(Seconds(1));
@@ -230,30 +233,30 @@
     for (int round = 0; round < 5; ++round) {
         w.pass(Seconds(3));
         for (auto* m : {&m1, &m2})
-            for (const auto& o : w.beat(*m)) EXPECT_NE(o.verb, Verb::kill) << o.id.uid;
+            for (const auto& o : w.heartbeat(*m)) EXPECT_NE(o.type, CommandType::kill) << o.id.uid;
         w.place();
     }
 }
 
 TEST(QuotaStory, a_team_within_its_own_guarantee_gives_nothing_to_another) {
-    World w;
+    SchedulerHarness w;
     w.settings = with_teams({team("team", 2), team("sure", 2)});
     w.elect();
     w.accept(of_team("run-1", "team", 2, 1));
     w.settle();
     Worker m;
-    w.beat(m);
-    w.beat(m);
+    w.heartbeat(m);
+    w.heartbeat(m);
     ASSERT_TRUE(w.place());
-    w.beat(m);
+    w.heartbeat(m);
     m.run_all();
-    w.beat(m);
+    w.heartbeat(m);
     auto high = of_team("run-2", "sure", 2, 2);
-    high.rank = wire::Rank::critical;
+    high.priority = model::Priority::critical;
     w.accept(high);
     w.settle();
     for (int round = 0; round < 4; ++round) {
-        for (const auto& o : w.beat(m)) EXPECT_NE(o.verb, Verb::kill);
+        for (const auto& o : w.heartbeat(m)) EXPECT_NE(o.type, CommandType::kill);
         w.place();
         w.pass(Seconds(2));
     }
@@ -274,7 +277,7 @@
     other.peers[0].member = "one";
     auto fresh = other;
     fresh.teams = {team("team", 0, 3)};
-    state::Form form(old_settings);
+    state::RecordFormat record_format(old_settings);
     std::vector<double> limits;
     const auto told = [&](const quota::Table& t) { limits.push_back(t.at("team").limit.gpus); };
     const auto settle = [&] {
@@ -282,12 +285,12 @@
         while (io.poll() > 0) {
         }
     };
-    election::Members leader(store, old_settings, form, told);
+    election::Members leader(store, old_settings, record_format, told);
     net::asio::co_spawn(io, leader.run(), net::asio::detached);
     settle();
     {
         net::asio::io_context second;
-        election::Members before(store, other, form);
+        election::Members before(store, other, record_format);
         net::asio::co_spawn(second, before.run(), net::asio::detached);
         while (second.poll() > 0) {
         }
@@ -295,14 +298,14 @@
     EXPECT_TRUE(limits.empty()) << "all go by the same table";
     {
         net::asio::io_context second;
-        election::Members after(store, fresh, form);
+        election::Members after(store, fresh, record_format);
         net::asio::co_spawn(second, after.run(), net::asio::detached);
         while (second.poll() > 0) {
         }
     }
     // The key of a controller that is down stays, and so does what it says. Whoever begins now reads both.
     net::asio::io_context third;
-    election::Members again(store, old_settings, form, told);
+    election::Members again(store, old_settings, record_format, told);
     net::asio::co_spawn(third, again.run(), net::asio::detached);
     while (third.poll() > 0) {
     }
--- a/tests/format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -1,12 +1,14 @@
 // Two versions side by side, and limits that come without notice. The records of the version in production are written
 // out here, as it writes them, and are not produced by the code under test.
 #include "election/members.hpp"
-#include "fake_store.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
+#include "support/fake_store.hpp"
 
 namespace flintdale::test {
 
-using wire::Cause;
-using wire::Shape;
+using model::ExitReason;
+using model::JobKind;
 
 namespace {
 
@@ -19,7 +21,7 @@
     return R"({"spec":)" + std::string(production_spec) + R"(,"tasks":)" + tasks + "}";
 }
 
-struct Upgrade : ::testing::Test, World {
+struct Upgrade : ::testing::Test, SchedulerHarness {
     Worker m1;
 
     void put(const std::string& key, const std::string& value) {
@@ -29,8 +31,8 @@
     }
     std::string text(const std::string& key) const { return boost::json::serialize(keys.get(key).value); }
     void meet(Worker& w) {
-        beat(w);
-        beat(w);
+        heartbeat(w);
+        heartbeat(w);
     }
     // An array that an older version accepted and placed, one task a machine, in records of 256.
     void large_array(std::uint32_t tasks) {
@@ -54,9 +56,9 @@
     }
     // What a new leader would read of each task: its machine, "done" or "".
     std::vector<std::string> read() {
-        World reader;
+        SchedulerHarness reader;
         reader.keys = keys;
-        reader.form = form;
+        reader.record_format = record_format;
         reader.term = term + 10;
         reader.elect();
         std::vector<std::string> out;
@@ -78,7 +80,7 @@
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
     EXPECT_EQ(leader->count("run-1")->done, 1u);
-    EXPECT_EQ(leader->job("run-1")->rank, wire::Rank::normal);
+    EXPECT_EQ(leader->job("run-1")->priority, model::Priority::normal);
     EXPECT_FALSE(leader->knows("run-3"));
 }
 
@@ -90,7 +92,7 @@
     meet(m1);
     EXPECT_FALSE(place());
     EXPECT_FALSE(leader->knows("run-1"));
-    EXPECT_GT(keys.get("jobs/work/run-1").stamp, 0u) << "nor is anything of it removed";
+    EXPECT_GT(keys.get("jobs/work/run-1").mod_revision, 0u) << "nor is anything of it removed";
 }
 
 TEST_F(Upgrade, before_the_switch_the_new_version_writes_what_the_old_one_would) {
@@ -102,18 +104,18 @@
     meet(m1);
     ASSERT_TRUE(place());  // two fit
     EXPECT_EQ(text("jobs/work/run-1"), record(R"([[0,1,1,"n-000001",0],[2,2,0,"",0]])"));
-    beat(m1);
+    heartbeat(m1);
     m1.run_all();
-    m1.finish("run-1", 0, Cause::done);
-    m1.finish("run-1", 1, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 0, ExitReason::done);
+    m1.finish("run-1", 1, ExitReason::done);
+    heartbeat(m1);
     ASSERT_TRUE(place());
     commit();
     EXPECT_EQ(text("jobs/work/run-1"), record(R"([[0,1,1,"",1],[2,2,1,"n-000001",0]])"));
-    beat(m1);
+    heartbeat(m1);
     m1.run_all();
-    m1.finish("run-1", 2, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 2, ExitReason::done);
+    heartbeat(m1);
     const auto batch = leader->next_batch(1000, 5000);
     ASSERT_EQ(batch.txn.changes.size(), 1u);
     EXPECT_EQ(batch.txn.changes[0].key, "jobs/over/run-1");
@@ -163,13 +165,13 @@
     for (std::uint32_t round = 0; round < 10; ++round) {
         // A tenth of the tasks ends, here and there, and the leader dies and comes back in between.
         for (std::uint32_t i = round; i < tasks; i += 10) {
-            wire::TaskReport t;
+            model::TaskReport t;
             t.id = {"run-1", i};
             t.attempt = 1;
             t.status = TaskStatus::exited;
-            t.cause = Cause::done;
+            t.exit_reason = ExitReason::done;
             workers[i].tasks = {t};
-            beat(workers[i]);
+            heartbeat(workers[i]);
         }
         pass(Seconds(9));  // the records of ended tasks have waited long enough
         leader->place(now);
@@ -191,7 +193,7 @@
             elect();
             for (auto& w : workers) {
                 w.tasks.clear();
-                beat(w, false);
+                heartbeat(w, false);
             }
         }
     }
@@ -200,31 +202,31 @@
     EXPECT_TRUE(keys.range("jobs/work/").empty()) << "nothing of it is left over";
 }
 
-TEST(Form, a_refused_size_proves_the_new_limits_only_if_the_present_ones_allow_it) {
+TEST(RecordFormat, a_refused_size_proves_the_new_limits_only_if_the_present_ones_allow_it) {
     auto s = settings();
     s.next_limits = s.limits;
     s.next_limits->value_bytes = 2048;
     s.next_limits->txn_ops = 4;
-    state::Form form(s);
-    EXPECT_FALSE(form.refused(2048, 4, 16)) << "both allow it: something else is wrong with it";
-    EXPECT_FALSE(form.refused(20'000, 1, 1)) << "neither allows it";
-    EXPECT_FALSE(form.newest());
-    EXPECT_TRUE(form.refused(100, 5, 6));
-    EXPECT_TRUE(form.newest());
-    EXPECT_EQ(form.limits().value_bytes, 2048u);
-    EXPECT_FALSE(form.refused(3000, 1, 1)) << "no news any more";
+    state::RecordFormat record_format(s);
+    EXPECT_FALSE(record_format.refused(2048, 4, 16)) << "both allow it: something else is wrong with it";
+    EXPECT_FALSE(record_format.refused(20'000, 1, 1)) << "neither allows it";
+    EXPECT_FALSE(record_format.newest());
+    EXPECT_TRUE(record_format.refused(100, 5, 6));
+    EXPECT_TRUE(record_format.newest());
+    EXPECT_EQ(record_format.limits().value_bytes, 2048u);
+    EXPECT_FALSE(record_format.refused(3000, 1, 1)) << "no news any more";
     s.next_limits.reset();
-    state::Form before(s);
+    state::RecordFormat before(s);
     EXPECT_FALSE(before.refused(15'000, 12, 48));
     EXPECT_FALSE(before.newest()) << "no limits are to come";
 }
 
 TEST_F(Upgrade, a_record_that_is_refused_is_cut_and_stops_nobody_else) {
     // The limits have fallen, and nobody here knows of it yet but for the refusal: no limits to come were announced.
-    form.all_read(state::newest_format);
+    record_format.all_read(state::newest_format);
     elect();
-    accept(job("run-2", Shape::array, 90));
-    accept(job("run-3", Shape::array, 1));
+    accept(job("run-2", JobKind::array, 90));
+    accept(job("run-3", JobKind::array, 1));
     keys.value_bytes = 1200;
     settle();
     std::vector<Worker> workers;
@@ -239,13 +241,13 @@
     EXPECT_FALSE(leader->dirty());
     int runs = 0;
     for (auto& w : workers)
-        for (const auto& o : beat(w)) runs += o.verb == Verb::run;
+        for (const auto& o : heartbeat(w)) runs += o.type == CommandType::run;
     EXPECT_EQ(runs, 91) << "all that was placed is on record";
 }
 
 TEST_F(Upgrade, jobs_accepted_with_a_large_description_are_placed_and_end_under_small_limits) {
     elect();
-    auto spec = job("run-2", Shape::array, 2);
+    auto spec = job("run-2", JobKind::array, 2);
     spec.types.emplace();
     for (int i = 0; i < 300; ++i) spec.types->push_back("type-" + std::to_string(i));
     spec.types->push_back("small");
@@ -254,14 +256,14 @@
     settle();
     meet(m1);
     ASSERT_TRUE(place());
-    ASSERT_TRUE(ordered(beat(m1), Verb::run, "run-2", 0));
+    ASSERT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
     elect();
     EXPECT_EQ(machine_of("run-2", 1), "n-000001");
-    beat(m1);
+    heartbeat(m1);
     m1.run_all();
-    m1.finish("run-2", 0, Cause::done);
-    m1.finish("run-2", 1, Cause::done);
-    beat(m1);
+    m1.finish("run-2", 0, ExitReason::done);
+    m1.finish("run-2", 1, ExitReason::done);
+    heartbeat(m1);
     commit();
     EXPECT_EQ(state_of("run-2"), "done");
     EXPECT_TRUE(keys.range("jobs/work/").empty());
@@ -270,18 +272,18 @@
 TEST_F(Upgrade, a_long_submission_is_cut_and_every_leader_puts_it_together) {
     elect();
     lower_limits(2048, 4);
-    auto spec = job("run-2", Shape::array, 2);
-    for (int i = 0; i < 200; ++i) spec.prerequisites.push_back("run-" + std::to_string(100'000 + i));
+    auto spec = job("run-2", JobKind::array, 2);
+    for (int i = 0; i < 200; ++i) spec.dependencies.push_back("run-" + std::to_string(100'000 + i));
     spec.zone = "b\"\\\u00e9";
     accept(spec);
     EXPECT_FALSE(leader->knows("run-2")) << "only its first record was told";
     read_missing();
     ASSERT_TRUE(leader->knows("run-2"));
-    EXPECT_EQ(leader->job("run-2")->spec.prerequisites, spec.prerequisites);
+    EXPECT_EQ(leader->job("run-2")->spec.dependencies, spec.dependencies);
     EXPECT_EQ(leader->job("run-2")->spec.zone, spec.zone);
     elect();
     ASSERT_TRUE(leader->knows("run-2"));
-    EXPECT_EQ(leader->job("run-2")->spec.prerequisites.size(), 200u);
+    EXPECT_EQ(leader->job("run-2")->spec.dependencies.size(), 200u);
     ASSERT_TRUE(cancel("run-2"));
     tell("run-2");
     commit();
@@ -296,7 +298,7 @@
 
     struct Node {
         config::Settings settings = test::settings();
-        state::Form form;
+        state::RecordFormat record_format;
         election::Members members;
         static config::Settings named(const std::string& name) {
             auto s = test::settings();
@@ -309,7 +311,7 @@
             return s;
         }
         Node(net::asio::io_context& io, state::Store& store, const std::string& name)
-            : settings(named(name)), form(settings), members(store, settings, form) {
+            : settings(named(name)), record_format(settings), members(store, settings, record_format) {
             net::asio::co_spawn(io, members.run(), net::asio::detached);
         }
     };
@@ -328,15 +330,15 @@
     settle();
     Node two(io, store, "two");
     settle();
-    EXPECT_FALSE(two.form.newest());
-    EXPECT_EQ(two.form.limits().txn_ops, 12u);
+    EXPECT_FALSE(two.record_format.newest());
+    EXPECT_EQ(two.record_format.limits().txn_ops, 12u);
     Node three(io, store, "three");
     settle();
-    EXPECT_TRUE(three.form.newest());
-    EXPECT_EQ(three.form.limits().txn_ops, 4u) << "the limits come without notice";
+    EXPECT_TRUE(three.record_format.newest());
+    EXPECT_EQ(three.record_format.limits().txn_ops, 4u) << "the limits come without notice";
     Node again(io, store, "one");
     settle();
-    EXPECT_TRUE(again.form.newest()) << "whoever starts later finds it out, though the others may be gone";
+    EXPECT_TRUE(again.record_format.newest()) << "whoever starts later finds it out, though the others may be gone";
 }
 
 TEST_F(MembersStory, a_controller_that_cannot_ask_changes_nothing_and_a_lost_answer_does_no_harm) {
@@ -348,16 +350,16 @@
     store.refuse = true;
     Node cut_off(io, store, "one");
     settle();
-    EXPECT_FALSE(cut_off.form.newest());
+    EXPECT_FALSE(cut_off.record_format.newest());
     EXPECT_FALSE(cut_off.members.enrolled());
     store.refuse = false;
     store.lose_answers = 1;
     Node one(io, store, "one");
     settle();
-    EXPECT_FALSE(one.form.newest()) << "it does not know yet whether its own key is there";
+    EXPECT_FALSE(one.record_format.newest()) << "it does not know yet whether its own key is there";
     Node again(io, store, "one");
     settle();
-    EXPECT_TRUE(again.form.newest());
+    EXPECT_TRUE(again.record_format.newest());
     EXPECT_TRUE(again.members.enrolled());
 }
 
@@ -369,7 +371,7 @@
     store.keys.commit(txn);
     Node one(io, store, "one");
     settle();
-    EXPECT_FALSE(one.form.newest());
+    EXPECT_FALSE(one.record_format.newest());
 }
 
 }  // namespace flintdale::test
--- a/tests/rebuild_story_test.cpp
+++ b/tests/recovery_simulation_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "emulator/world.hpp"
+#include "simulator/simulation.hpp"
 
 namespace flintdale::test {
 
@@ -126,15 +126,15 @@
      "lasts_s = 5\nat_s = 50.3"},
 };
 
-emulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
+simulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
     spdlog::set_level(spdlog::level::off);
     std::string text = world;
     if (!troubles.empty()) text += "[[troubles]]\n" + troubles + "\n";
-    const auto scenario = emulator::parse_scenario(text, "story");
-    return emulator::World(scenario, seed).play();
+    const auto scenario = simulator::parse_scenario(text, "story");
+    return simulator::Simulation(scenario, seed).play();
 }
 
-std::string broken(const emulator::Outcome& o) {
+std::string broken(const simulator::Outcome& o) {
     std::string out;
     for (const auto& [rule, first] : o.first) out += rule + " at " + first + "; ";
     return out;
@@ -224,8 +224,8 @@
     text += std::string("[[troubles]]\n") + ends.trouble +
             "\n[[troubles]]\nkind = \"machines_die\"\nshare = 0.33\nat_s = 56\n";
     spdlog::set_level(spdlog::level::off);
-    const auto scenario = emulator::parse_scenario(text, "back at once");
-    const auto o = emulator::World(scenario, 7).play();
+    const auto scenario = simulator::parse_scenario(text, "back at once");
+    const auto o = simulator::Simulation(scenario, 7).play();
     EXPECT_EQ(broken(o), "");
     EXPECT_GT(o.accepted, 20u);
     EXPECT_TRUE(o.left_behind.empty()) << o.left_behind.front();
@@ -265,9 +265,9 @@
     text.replace(text.find(warm), warm.size(),
                  warm + "slow = 0.06\nslowest_s = 2.5\nlate = 0.01\ndrawn = 4\nrestart_s = [0.05, 6.0]\n");
     spdlog::set_level(spdlog::level::off);
-    const auto scenario = emulator::parse_scenario(text, "late");
+    const auto scenario = simulator::parse_scenario(text, "late");
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        const auto o = emulator::World(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).play();
         EXPECT_EQ(broken(o), "") << seed;
         EXPECT_EQ(o.rebuilt, 0u) << seed;
         EXPECT_GT(o.accepted, 15u) << seed;
@@ -294,16 +294,16 @@
 TEST(LossStories, the_same_seed_gives_the_same_line) {
     const char* troubles =
         "kind = \"set_back\"\nseconds = 9\nat_s = 50\n[[troubles]]\nkind = \"crash\"\nlasts_s = 3\nat_s = 55";
-    const auto once = emulator::to_line(play(troubles, 11));
-    EXPECT_EQ(once, emulator::to_line(play(troubles, 11)));
-    EXPECT_NE(once, emulator::to_line(play(troubles, 12)));
+    const auto once = simulator::to_line(play(troubles, 11));
+    EXPECT_EQ(once, simulator::to_line(play(troubles, 11)));
+    EXPECT_NE(once, simulator::to_line(play(troubles, 12)));
 }
 
 TEST(ScenarioStory, what_is_wrong_in_a_scenario_is_named) {
     const auto complaint = [](const std::string& text) -> std::string {
         try {
-            emulator::parse_scenario(text, "file");
-        } catch (const config::BadSetting& e) {
+            simulator::parse_scenario(text, "file");
+        } catch (const config::ConfigError& e) {
             return e.what();
         }
         return "";
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -6,18 +6,21 @@
 #include <fstream>
 
 #include "api/submission_service.hpp"
-#include "fake_store.hpp"
-#include "recovery/keeper.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
+#include "recovery/recovery_coordinator.hpp"
+#include "support/fake_store.hpp"
 #include "wire/archive.hpp"
 
 namespace flintdale::test {
 
 namespace {
 
-using recovery::Memory;
 using recovery::Merged;
 using recovery::Record;
-using recovery::Source;
+using recovery::RecordReplica;
+using recovery::ReplicaContents;
 using state::Outcome;
 namespace fs = std::filesystem;
 
@@ -31,8 +34,9 @@
     return boost::json::serialize(boost::json::object{{"spec", boost::json::object()}, {"tasks", tasks}});
 }
 
-Source source(std::uint64_t generation, std::uint64_t revision, bool whole, std::map<std::string, Record> records) {
-    Source s;
+ReplicaContents source(std::uint64_t generation, std::uint64_t revision, bool whole,
+                       std::map<std::string, Record> records) {
+    ReplicaContents s;
     s.from = "somebody";
     s.generation = generation;
     s.id = "history-" + std::to_string(generation);
@@ -43,12 +47,12 @@
 }
 
 // Merges them in every order, which must not matter.
-Merged merged(std::vector<Source> sources, const Source& store = {}) {
+Merged merged(std::vector<ReplicaContents> sources, const ReplicaContents& store = {}) {
     std::vector<std::size_t> order(sources.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
     std::optional<Merged> first;
     do {
-        std::vector<Source> in;
+        std::vector<ReplicaContents> in;
         for (const auto i : order) in.push_back(sources[i]);
         auto out = recovery::merge(in, store);
         if (!first) first = out;
@@ -58,8 +62,8 @@
     return *first;
 }
 
-state::FollowResult told(std::uint64_t revision, std::vector<state::Item> events, std::vector<bool> deleted) {
-    state::FollowResult r;
+state::WatchResult told(std::uint64_t revision, std::vector<state::KeyValue> events, std::vector<bool> deleted) {
+    state::WatchResult r;
     r.outcome = Outcome::ok;
     r.revision = revision;
     r.events = std::move(events);
@@ -67,11 +71,11 @@
     return r;
 }
 
-state::Item item(const std::string& key, const std::string& text, std::uint64_t stamp) {
-    return {key, boost::json::parse(text), stamp};
+state::KeyValue item(const std::string& key, const std::string& text, std::uint64_t mod_revision) {
+    return {key, boost::json::parse(text), mod_revision};
 }
 
-state::Item removed(const std::string& key, std::uint64_t stamp) { return {key, {}, stamp}; }
+state::KeyValue removed(const std::string& key, std::uint64_t mod_revision) { return {key, {}, mod_revision}; }
 
 struct TemporaryDirectory {
     fs::path path;
@@ -156,7 +160,7 @@
 // --- the memory ---
 
 TEST(MemoryStory, it_holds_what_was_told_and_what_was_read_whichever_came_first) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 10);
     EXPECT_TRUE(m.told(told(14,
                             {item("jobs/work/run-1", work(2), 12), removed("jobs/work/run-2", 13),
@@ -179,7 +183,7 @@
 }
 
 TEST(MemoryStory, a_removal_that_nobody_can_have_ordered_is_told_and_not_believed) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 0);
     m.page({item("jobs/work/run-1", work(2), 3), item("jobs/over/run-2", done, 4)});
     m.filled();
@@ -194,7 +198,7 @@
 }
 
 TEST(MemoryStory, its_own_acknowledged_writes_count_before_they_are_told) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 5);
     m.filled();
     m.written({"jobs/work/run-1", boost::json::parse(work(0)), 0}, 7);
@@ -205,7 +209,7 @@
 }
 
 TEST(MemoryStory, an_outcome_is_kept_in_a_few_words_and_comes_back_as_a_record_that_says_the_same) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 0);
     auto kept = boost::json::parse(done).as_object();
     kept["at"] = 1234567;
@@ -223,11 +227,11 @@
 }
 
 TEST(MemoryStory, a_reading_shows_what_went_without_a_sign) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 6);
     m.page(
         {item("jobs/over/run-1", done, 4), item("jobs/work/run-2", work(1), 5), item("jobs/work/run-3", work(1), 6)});
-    m.written({"jobs/over/run-9", boost::json::parse(done), 0}, recovery::owed_stamp);
+    m.written({"jobs/over/run-9", boost::json::parse(done), 0}, recovery::deferred_mod_revision);
     m.filled();
     const auto mark = m.mark();
     EXPECT_TRUE(m.missing_from(mark, "", "",
@@ -243,12 +247,12 @@
 // A page that was asked for before a job was accepted cannot show it, however late it comes. The first version took it
 // for lost, and brought the service down for a minute (docs/incidents/loss-without-a-loss.md).
 TEST(MemoryStory, what_became_known_after_a_page_was_asked_for_is_not_missing_from_it) {
-    Memory m;
+    RecordReplica m;
     m.begin(1, "a", 10);
     m.page({item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)});
     m.filled();
     const auto asked = m.mark();
-    const std::vector<state::Item> page{item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)};
+    const std::vector<state::KeyValue> page{item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)};
     m.written({"jobs/work/run-3", boost::json::parse(work(0)), 0}, 11);                            // accepted
     m.told(told(13, {item("jobs/work/run-1", work(1), 12), item("jobs/work/run-4", work(0), 13)},  // placed, accepted
                 {false, false}));
@@ -260,7 +264,7 @@
 }
 
 TEST(MemoryStory, a_digest_tells_outcomes_apart_and_does_not_change_with_later_ones) {
-    Memory a, b;
+    RecordReplica a, b;
     for (auto* m : {&a, &b}) m->begin(1, "a", 0);
     a.page({item("jobs/over/run-1", done, 4), item("jobs/over/run-2", done, 5), item("jobs/over/run-3", done, 9)});
     b.page({item("jobs/over/run-1", done, 4), item("jobs/over/run-4", done, 5)});
@@ -280,15 +284,15 @@
     EXPECT_EQ(wire::decode_archive(bytes), records);
     EXPECT_EQ(wire::decode_archive_text(wire::encode_archive_text(records)), records);
     for (std::size_t n = 0; n < bytes.size(); n += 7) {
-        EXPECT_THROW(wire::decode_archive(bytes.substr(0, n)), wire::BadBody) << n;
+        EXPECT_THROW(wire::decode_archive(bytes.substr(0, n)), wire::DecodeError) << n;
         auto damaged = bytes;
         damaged[n] = static_cast<char>(damaged[n] ^ 0x10);
         try {
             EXPECT_EQ(wire::decode_archive(damaged), records) << "bits that mean nothing";
-        } catch (const wire::BadBody&) {
+        } catch (const wire::DecodeError&) {
         }
     }
-    EXPECT_THROW(wire::decode_archive_text("no page"), wire::BadBody);
+    EXPECT_THROW(wire::decode_archive_text("no page"), wire::DecodeError);
 }
 
 TEST(SnapshotFileStory, every_torn_prefix_of_a_snapshot_leaves_the_former_one) {
@@ -360,12 +364,12 @@
         state::Txn txn;
         txn.conditions.push_back({key, over});
         txn.changes.push_back({key, boost::json::object{{"x", 1}}, 0});
-        return run(store.commit(std::move(txn), state::Urgency::user));
+        return run(store.commit(std::move(txn), state::RequestPriority::user));
     }
     state::TxnResult ask(const std::string& key) {
         state::Txn txn;
         txn.conditions.push_back({key, 0});
-        return run(store.commit(std::move(txn), state::Urgency::user));
+        return run(store.commit(std::move(txn), state::RequestPriority::user));
     }
     std::uint64_t make_marker() {
         state::Txn txn;
@@ -382,9 +386,9 @@
 TEST_F(GuardStory, while_it_is_closed_nothing_of_jobs_is_written_or_told_and_the_rest_goes_on) {
     EXPECT_EQ(put("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(ask("jobs/work/run-1").outcome, Outcome::refused);
-    EXPECT_EQ(run(store.get("jobs/over/run-1", state::Urgency::user)).outcome, Outcome::refused);
+    EXPECT_EQ(run(store.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::refused);
     EXPECT_EQ(put("members/one").outcome, Outcome::ok);
-    EXPECT_EQ(run(store.get("members/one", state::Urgency::user)).outcome, Outcome::ok);
+    EXPECT_EQ(run(store.get("members/one", state::RequestPriority::user)).outcome, Outcome::ok);
     EXPECT_TRUE(inner.keys.range("jobs/").empty());
     EXPECT_TRUE(doubts.empty());
 }
@@ -395,7 +399,7 @@
     EXPECT_EQ(written.at("jobs/work/run-1"), inner.keys.revision());
     make_marker();
     EXPECT_EQ(put("jobs/work/run-2").outcome, Outcome::refused);
-    EXPECT_EQ(inner.keys.get("jobs/work/run-2").stamp, 0u);
+    EXPECT_EQ(inner.keys.get("jobs/work/run-2").mod_revision, 0u);
     EXPECT_FALSE(store.is_open());
     EXPECT_EQ(doubts.size(), 1u);
 }
@@ -418,7 +422,7 @@
     EXPECT_EQ(put("jobs/work/run-3").outcome, Outcome::unknown) << "it stands, in a service that is not what it was";
     EXPECT_EQ(doubts.size(), 1u);
     EXPECT_FALSE(store.is_open());
-    EXPECT_EQ(run(store.get("jobs/work/run-3", state::Urgency::user)).outcome, Outcome::refused);
+    EXPECT_EQ(run(store.get("jobs/work/run-3", state::RequestPriority::user)).outcome, Outcome::refused);
 }
 
 TEST_F(GuardStory, no_alarm_by_conflicts_refusals_lost_answers_or_what_was_sent_before_the_opening) {
@@ -455,10 +459,10 @@
         state::Txn txn;
         txn.conditions.push_back({scheduler::outcome_key(uid), 0});
         txn.conditions.push_back({scheduler::work_key(uid, 0), 0});
-        if (at_once) return run(guard.commit(std::move(txn), state::Urgency::user));
+        if (at_once) return run(guard.commit(std::move(txn), state::RequestPriority::user));
         // The job is accepted elsewhere, and told here, after this was carried out and before its answer is here.
         state::TxnResult out;
-        net::asio::co_spawn(io, guard.commit(std::move(txn), state::Urgency::user),
+        net::asio::co_spawn(io, guard.commit(std::move(txn), state::RequestPriority::user),
                             [&](std::exception_ptr, state::TxnResult r) { out = std::move(r); });
         io.restart();
         io.run_one();
@@ -488,17 +492,18 @@
 TEST_F(MissedStory, work_may_be_removed_where_there_is_an_outcome_and_an_outcome_never) {
     state::Txn txn;
     txn.changes.push_back({"jobs/over/run-1", boost::json::parse(done), 0});
-    const auto stamp = inner.keys.commit(txn).revision;
+    const auto mod_revision = inner.keys.commit(txn).revision;
     remembered["jobs/work/run-1"] = 1;
     EXPECT_EQ(neither("run-1").outcome, Outcome::conflict);
-    EXPECT_EQ(run(guard.get("jobs/work/run-1", state::Urgency::user)).outcome, Outcome::ok);
+    EXPECT_EQ(run(guard.get("jobs/work/run-1", state::RequestPriority::user)).outcome, Outcome::ok);
     EXPECT_TRUE(missed.empty());
-    remembered["jobs/over/run-1"] = stamp;
-    EXPECT_EQ(run(guard.get("jobs/over/run-1", state::Urgency::user)).outcome, Outcome::ok);
-    remembered["jobs/over/run-1"] = stamp + 4;
-    EXPECT_EQ(run(guard.get("jobs/over/run-1", state::Urgency::user)).outcome, Outcome::refused) << "older than it was";
-    remembered["jobs/over/run-2"] = stamp;
-    EXPECT_EQ(run(guard.get("jobs/over/run-2", state::Urgency::user)).outcome, Outcome::refused) << "gone";
+    remembered["jobs/over/run-1"] = mod_revision;
+    EXPECT_EQ(run(guard.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::ok);
+    remembered["jobs/over/run-1"] = mod_revision + 4;
+    EXPECT_EQ(run(guard.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::refused)
+        << "older than it was";
+    remembered["jobs/over/run-2"] = mod_revision;
+    EXPECT_EQ(run(guard.get("jobs/over/run-2", state::RequestPriority::user)).outcome, Outcome::refused) << "gone";
     EXPECT_EQ(missed.size(), 2u);
 }
 
@@ -508,10 +513,10 @@
     state::Txn txn;
     txn.conditions.push_back({"jobs/over/run-1", 0});
     txn.changes.push_back({"jobs/work/run-1", boost::json::object{{"x", 1}}, 0});
-    const auto r = run(guard.commit(std::move(txn), state::Urgency::user));
+    const auto r = run(guard.commit(std::move(txn), state::RequestPriority::user));
     EXPECT_EQ(r.outcome, Outcome::conflict);
     EXPECT_EQ(r.failed, std::vector<std::string>{"jobs/over/run-1"});
-    EXPECT_EQ(inner.keys.get("jobs/work/run-1").stamp, 0u);
+    EXPECT_EQ(inner.keys.get("jobs/work/run-1").mod_revision, 0u);
 }
 
 // --- the second look ---
@@ -521,26 +526,26 @@
 struct InquiryStory : ::testing::Test {
     net::asio::io_context io;
     FakeStore store;
-    Memory memory;
-    recovery::Inquiry inquiry{store, memory, [this] { return memory.revision(); }};
-    using Verdict = recovery::Inquiry::Finding::Verdict;
+    RecordReplica replica;
+    recovery::ConsistencyCheck consistency_check{store, replica, [this] { return replica.revision(); }};
+    using Verdict = recovery::ConsistencyCheck::Finding::Verdict;
 
     void SetUp() override {
         put("jobs/work/run-1", work(1));
         put("jobs/over/run-2", done);
-        memory.begin(1, "a", store.keys.revision());
-        memory.page(store.keys.range("jobs/"));
-        memory.filled();
+        replica.begin(1, "a", store.keys.revision());
+        replica.page(store.keys.range("jobs/"));
+        replica.filled();
     }
     std::uint64_t put(const std::string& key, const std::string& text) {
         state::Txn txn;
         txn.changes.push_back({key, text.empty() ? std::optional<boost::json::value>() : boost::json::parse(text), 0});
         return store.keys.commit(txn).revision;
     }
-    recovery::Inquiry::Finding look(const std::string& key) {
-        recovery::Inquiry::Finding out;
-        net::asio::co_spawn(io, inquiry.look_again(key, state::Urgency::user),
-                            [&](std::exception_ptr e, recovery::Inquiry::Finding f) {
+    recovery::ConsistencyCheck::Finding look(const std::string& key) {
+        recovery::ConsistencyCheck::Finding out;
+        net::asio::co_spawn(io, consistency_check.look_again(key, state::RequestPriority::user),
+                            [&](std::exception_ptr e, recovery::ConsistencyCheck::Finding f) {
                                 EXPECT_FALSE(e);
                                 out = std::move(f);
                             });
@@ -566,13 +571,13 @@
 TEST_F(InquiryStory, what_is_gone_or_older_or_damaged_is_found_with_the_stamp_it_has_now) {
     const auto copy = store.keys;
     put("jobs/work/run-1", work(5));
-    memory.told(told(store.keys.revision(), store.keys.range("jobs/work/"), {false}));
+    replica.told(told(store.keys.revision(), store.keys.range("jobs/work/"), {false}));
     const auto revision = store.keys.revision();
     store.keys = copy;
     auto f = look("jobs/work/run-1");
     EXPECT_EQ(f.verdict, Verdict::gone);
     EXPECT_EQ(f.remembered, revision);
-    EXPECT_EQ(f.there, copy.get("jobs/work/run-1").stamp);
+    EXPECT_EQ(f.there, copy.get("jobs/work/run-1").mod_revision);
     put("jobs/over/run-2", "");
     f = look("jobs/over/run-2");
     EXPECT_EQ(f.verdict, Verdict::gone);
@@ -586,31 +591,33 @@
 namespace {
 
 // One that plays on a service in memory, under a virtual time.
-struct KeeperStory : ::testing::Test {
-    wire::TimePoint now{std::chrono::seconds(1000)};
-    KeeperStory() {
-        wire::Clock::emulated = &now;
+struct RecoveryCoordinatorStory : ::testing::Test {
+    model::TimePoint now{std::chrono::seconds(1000)};
+    RecoveryCoordinatorStory() {
+        model::Clock::simulated = &now;
         service.quiet_watches = true;
     }
-    ~KeeperStory() override { wire::Clock::emulated = nullptr; }
+    ~RecoveryCoordinatorStory() override { model::Clock::simulated = nullptr; }
 
     FakeStore service;
     config::Settings cluster = settings();
-    state::Form form{cluster};
+    state::RecordFormat record_format{cluster};
     net::asio::io_context io;
     state::GuardedStore guarded{
         service,
         "jobs/",
-        {[this](const char* why) { keeper.doubt(why); },
-         [this](const state::Change& c, std::uint64_t revision) { keeper.written(c, revision); }}};
-    recovery::Keeper keeper{io.get_executor(), service, guarded, cluster, form, recovery::SnapshotFile(""), links()};
+        {[this](const char* why) { recovery.doubt(why); },
+         [this](const state::Change& c, std::uint64_t revision) { recovery.written(c, revision); }}};
+    recovery::RecoveryCoordinator recovery{io.get_executor(),          service,    guarded, cluster, record_format,
+                                           recovery::SnapshotFile(""), callbacks()};
 
-    static recovery::Keeper::Links links() {
-        recovery::Keeper::Links l;
+    static recovery::RecoveryCoordinator::Callbacks callbacks() {
+        recovery::RecoveryCoordinator::Callbacks l;
         l.time_of_day_ms = [] { return std::int64_t{1000}; };
         l.begin = [](election::Term, bool) {};
         l.new_term = [](const char*) {};
-        l.outcomes = [](const std::vector<state::Item>&, wire::TimePoint, recovery::Keeper::Links::Look) {};
+        l.outcomes = [](const std::vector<state::KeyValue>&, model::TimePoint,
+                        recovery::RecoveryCoordinator::Callbacks::Look) {};
         l.rebuilt = [] {};
         l.seen_term = [] { return std::uint64_t{0}; };
         l.incarnation = 1;
@@ -635,17 +642,17 @@
 // A controller was out of reach while the others rebuilt, and alone remembers a job that it accepted. What the service
 // refused of that was never tried again; and the others were certain that the job never was as soon as this one was
 // heard, before it had added anything.
-TEST_F(KeeperStory, forgotten_what_only_one_remembers_is_added_however_often_that_is_refused) {
-    net::asio::co_spawn(io, keeper.run(), net::asio::detached);
+TEST_F(RecoveryCoordinatorStory, forgotten_what_only_one_remembers_is_added_however_often_that_is_refused) {
+    net::asio::co_spawn(io, recovery.run(), net::asio::detached);
     pass(10);
-    ASSERT_TRUE(keeper.ready());
+    ASSERT_TRUE(recovery.ready());
     ASSERT_TRUE(guarded.is_open());
     state::Txn txn;
     txn.conditions.push_back({"jobs/work/run-1", 0});
     txn.changes.push_back(
         {"jobs/work/run-1", boost::json::object{{"spec", boost::json::object()}, {"tasks", boost::json::array()}}, 0});
     Outcome accepted = Outcome::unknown;
-    net::asio::co_spawn(io, guarded.commit(std::move(txn), state::Urgency::user),
+    net::asio::co_spawn(io, guarded.commit(std::move(txn), state::RequestPriority::user),
                         [&](std::exception_ptr, state::TxnResult r) { accepted = r.outcome; });
     pass(0.1);
     ASSERT_EQ(accepted, Outcome::ok);
@@ -660,64 +667,64 @@
     put(state::marker_key, state::marker_record(w));
     service.refuse_changes = "jobs/";
     pass(8);
-    ASSERT_EQ(keeper.own_word().generation, 2u);
-    EXPECT_EQ(service.keys.get("jobs/work/run-1").stamp, 0u);
-    EXPECT_FALSE(keeper.certain()) << "that a job never was";
-    EXPECT_EQ(keeper.own_word().remembers, 0u) << "nor may others be";
+    ASSERT_EQ(recovery.own_status().generation, 2u);
+    EXPECT_EQ(service.keys.get("jobs/work/run-1").mod_revision, 0u);
+    EXPECT_FALSE(recovery.certain()) << "that a job never was";
+    EXPECT_EQ(recovery.own_status().remembers, 0u) << "nor may others be";
     service.refuse_changes.clear();
     pass(3);
-    EXPECT_GT(service.keys.get("jobs/work/run-1").stamp, 0u);
-    EXPECT_TRUE(keeper.certain());
-    EXPECT_GT(keeper.own_word().remembers, 0u);
+    EXPECT_GT(service.keys.get("jobs/work/run-1").mod_revision, 0u);
+    EXPECT_TRUE(recovery.certain());
+    EXPECT_GT(recovery.own_status().remembers, 0u);
 }
 
 // --- what the leader makes of rebuilt records ---
 
 TEST(UnsettledStory, nothing_is_placed_before_every_machine_on_a_young_list_was_heard) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
-    w.accept(job("run-1", wire::Shape::array, 2));
+    w.accept(job("run-1", model::JobKind::array, 2));
     Worker heard, silent;
     silent.name = "n-000002";
-    std::vector<wire::ListedMachine> list;
+    std::vector<model::ListedMachine> list;
     for (const auto* m : {&heard, &silent})
-        list.push_back({m->name, "", m->type, m->zone, false, wire::MachineStatus::running, Seconds(60)});
-    w.beat(heard);
-    w.beat(heard);
+        list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
+    w.heartbeat(heard);
+    w.heartbeat(heard);
     w.pass(Seconds(20));
     EXPECT_FALSE(w.place()) << "no list has come yet";
     w.leader->listed(list, w.now);
     EXPECT_FALSE(w.place()) << "the other machine may hold anything";
     EXPECT_TRUE(w.leader->rent(w.now).empty());
-    w.beat(silent);
+    w.heartbeat(silent);
     EXPECT_FALSE(w.place()) << "its report is older than the answer that showed it this term";
-    w.beat(silent);
-    w.beat(heard);
+    w.heartbeat(silent);
+    w.heartbeat(heard);
     EXPECT_TRUE(w.place());
     EXPECT_FALSE(w.leader->unsettled());
 }
 
 TEST(UnsettledStory, a_machine_that_is_still_starting_after_this_term_began_can_hold_nothing) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
-    w.accept(job("run-1", wire::Shape::array, 2));
+    w.accept(job("run-1", model::JobKind::array, 2));
     Worker heard;
-    using wire::MachineStatus;
+    using model::MachineStatus;
     const auto list = [&](MachineStatus other) {
-        return std::vector<wire::ListedMachine>{
+        return std::vector<model::ListedMachine>{
             {heard.name, "", heard.type, heard.zone, false, MachineStatus::running, Seconds(60)},
             {"n-000002", "", heard.type, heard.zone, false, other, Seconds(60)}};
     };
-    w.beat(heard);
-    w.beat(heard);
+    w.heartbeat(heard);
+    w.heartbeat(heard);
     w.leader->listed(list(MachineStatus::booting), w.now);
     w.pass(Seconds(3));
-    w.beat(heard);
+    w.heartbeat(heard);
     EXPECT_FALSE(w.place()) << "that list may be older than this term, and the machine be up since";
     w.pass(Seconds(20));
-    w.beat(heard);
+    w.heartbeat(heard);
     w.leader->listed(list(MachineStatus::running), w.now);
     EXPECT_FALSE(w.place()) << "it came up, nobody knows when";
     w.leader->listed(list(MachineStatus::booting), w.now);
@@ -726,24 +733,24 @@
 }
 
 TEST(UnsettledStory, a_job_waits_only_for_machines_that_its_tasks_may_be_on) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
     Worker heard, silent;
     silent.name = "n-000002";
     silent.type = "large";
-    auto anywhere = job("run-1", wire::Shape::array, 1);
-    auto there = job("run-2", wire::Shape::array, 1);
+    auto anywhere = job("run-1", model::JobKind::array, 1);
+    auto there = job("run-2", model::JobKind::array, 1);
     there.types = std::vector<std::string>{heard.type};
     w.accept(anywhere);
     w.accept(there);
-    std::vector<wire::ListedMachine> list;
+    std::vector<model::ListedMachine> list;
     for (const auto* m : {&heard, &silent})
-        list.push_back({m->name, "", m->type, m->zone, false, wire::MachineStatus::running, Seconds(60)});
-    w.beat(heard);
-    w.beat(heard);
+        list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
+    w.heartbeat(heard);
+    w.heartbeat(heard);
     w.pass(Seconds(20));
-    w.beat(heard);
+    w.heartbeat(heard);
     w.leader->listed(list, w.now);
     EXPECT_TRUE(w.place());
     EXPECT_EQ(w.machine_of("run-2", 0), heard.name);
@@ -753,32 +760,32 @@
 }
 
 TEST(UnsettledStory, ran_twice_a_later_attempt_that_a_worker_shows_is_where_the_task_is) {
-    World w;
+    SchedulerHarness w;
     w.elect();
-    w.accept(job("run-1", wire::Shape::array, 3));
+    w.accept(job("run-1", model::JobKind::array, 3));
     // Of the placements that an earlier leader made, the records know nothing.
     Worker m;
     m.type = "large";
     w.elect();
     w.leader->distrust_records();
     for (const std::uint32_t i : {0u, 2u}) {
-        wire::TaskReport t;
+        model::TaskReport t;
         t.id = {"run-1", i};
         t.attempt = 4;
         t.status = TaskStatus::running;
         m.tasks.push_back(t);
     }
-    w.beat(m, false);
+    w.heartbeat(m, false);
     EXPECT_EQ(w.machine_of("run-1", 0), "") << "a report that may be old proves nothing";
-    m.token = w.term;
-    const auto orders = w.beat(m);
-    EXPECT_FALSE(w.ordered(orders, Verb::kill, "run-1", 0));
+    m.fencing_token = w.term;
+    const auto commands = w.heartbeat(m);
+    EXPECT_FALSE(w.ordered(commands, CommandType::kill, "run-1", 0));
     EXPECT_EQ(w.machine_of("run-1", 0), m.name);
     EXPECT_EQ(w.machine_of("run-1", 2), m.name);
     w.commit();
     w.pass(Seconds(20));
     w.leader->listed({}, w.now);
-    w.beat(m);
+    w.heartbeat(m);
     ASSERT_TRUE(w.place());
     EXPECT_NE(w.machine_of("run-1", 1), "");
     EXPECT_EQ(m.find("run-1", 0)->attempt, 4u);
@@ -788,46 +795,46 @@
 }
 
 TEST(UnsettledStory, tasks_of_a_job_that_nobody_knows_are_stopped_and_waited_for) {
-    World w;
+    SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
     Worker m;
-    wire::TaskReport t;
+    model::TaskReport t;
     t.id = {"run-9", 0};
     t.attempt = 2;
     t.status = TaskStatus::running;
     m.tasks.push_back(t);
-    w.beat(m);
-    w.accept(job("run-9", wire::Shape::array, 1));  // submitted again, as a new job
+    w.heartbeat(m);
+    w.accept(job("run-9", model::JobKind::array, 1));  // submitted again, as a new job
     w.pass(Seconds(20));
     w.leader->listed({}, w.now);
     EXPECT_FALSE(w.place());
-    m.token = w.term;
-    w.beat(m);
-    w.beat(m);
+    m.fencing_token = w.term;
+    w.heartbeat(m);
+    w.heartbeat(m);
     EXPECT_TRUE(w.place());
     EXPECT_TRUE(w.leader->loss_seen() == false);
 }
 
 TEST(UnsettledStory, an_attempt_above_the_one_on_record_is_a_sign_of_loss_and_nothing_else_is) {
-    World w;
+    SchedulerHarness w;
     w.elect();
-    w.accept(job("run-1", wire::Shape::array, 1));
+    w.accept(job("run-1", model::JobKind::array, 1));
     w.settle();
     Worker m;
-    w.beat(m);
-    w.beat(m);
+    w.heartbeat(m);
+    w.heartbeat(m);
     ASSERT_TRUE(w.place());
-    w.beat(m);
+    w.heartbeat(m);
     m.run_all();
-    w.beat(m);
+    w.heartbeat(m);
     Worker old = m;
     m.lose_lease();
-    w.beat(m);
+    w.heartbeat(m);
     EXPECT_FALSE(w.leader->loss_seen());
     old.name = "n-000007";
     old.tasks[0].attempt = 9;
-    w.beat(old);
+    w.heartbeat(old);
     EXPECT_TRUE(w.leader->loss_seen());
     EXPECT_FALSE(w.leader->loss_seen()) << "it is told once";
 }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -3,11 +3,14 @@
 #include <spdlog/spdlog.h>
 
 #include "app/worker_assignment.hpp"
-#include "emulator/world.hpp"
-#include "peer/link.hpp"
-#include "peer/relayed_reports.hpp"
-#include "peer/report_relay.hpp"
-#include "world.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
+#include "model/task.hpp"
+#include "peer/heartbeat_relay.hpp"
+#include "peer/peer_connections.hpp"
+#include "peer/relayed_heartbeat_cache.hpp"
+#include "simulator/simulation.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
@@ -20,43 +23,43 @@
 // A relay, and the messages that it sends; whoever leads is played by the story.
 struct RelayStory : ::testing::Test {
     TimePoint now{std::chrono::seconds(1000)};
-    const bool emulated = (wire::Clock::emulated = &now) != nullptr;
-    ~RelayStory() override { wire::Clock::emulated = nullptr; }
+    const bool simulated = (model::Clock::simulated = &now) != nullptr;
+    ~RelayStory() override { model::Clock::simulated = nullptr; }
 
     net::asio::io_context io;
     config::Settings cluster = settings();
     std::vector<std::pair<std::string, peer::RelayMessage>> sent;
     bool link_up = true;
-    peer::ReportRelay relay{io.get_executor(), cluster, relay_incarnation,
-                            [this](const std::string& member, const peer::RelayMessage& m) {
-                                if (link_up) sent.emplace_back(member, peer::decode_relay(peer::encode(m)));
-                                return link_up;
-                            }};
+    peer::HeartbeatRelay relay{io.get_executor(), cluster, relay_incarnation,
+                               [this](const std::string& member, const peer::RelayMessage& m) {
+                                   if (link_up) sent.emplace_back(member, peer::decode_relay(peer::encode(m)));
+                                   return link_up;
+                               }};
     struct Told {
         bool over = false;
-        std::optional<peer::LeaderAnswer> answer;
+        std::optional<peer::LeaderResponse> answer;
     };
     std::vector<std::shared_ptr<Told>> asked;
 
-    static wire::WorkerReport report(const std::string& machine, std::uint64_t tick, std::uint32_t tasks) {
-        wire::WorkerReport r;
+    static model::Heartbeat report(const std::string& machine, std::uint64_t sequence, std::uint32_t tasks) {
+        model::Heartbeat r;
         r.machine = machine;
         r.addr = machine + ":9000";
         r.type = "large";
         r.zone = "a";
-        r.tenure = 1;
-        r.tick = tick;
-        r.token = term;
+        r.incarnation = 1;
+        r.sequence = sequence;
+        r.fencing_token = term;
         for (std::uint32_t i = 0; i < tasks; ++i) {
-            wire::TaskReport t;
+            model::TaskReport t;
             t.id = {"run-1", i};
             t.attempt = 1;
-            t.status = wire::TaskStatus::running;
+            t.status = model::TaskStatus::running;
             r.tasks.push_back(t);
         }
         return r;
     }
-    std::shared_ptr<Told> ask(wire::WorkerReport r) {
+    std::shared_ptr<Told> ask(model::Heartbeat r) {
         auto told = std::make_shared<Told>();
         net::asio::co_spawn(io, relay.relay(std::move(r)), [told](std::exception_ptr, auto answer) {
             told->over = true;
@@ -65,7 +68,7 @@
         pass(30ms);
         return told;
     }
-    void pass(wire::Clock::duration time) {
+    void pass(model::Clock::duration time) {
         for (const auto until = now + time; now < until;) {
             now += 5ms;
             io.restart();
@@ -75,15 +78,15 @@
     static peer::Leader leads(const std::string& member, std::uint64_t of_term = term) {
         return {member, leader_incarnation, of_term};
     }
-    static peer::RelayedAnswer answer(std::uint64_t number, std::uint64_t token = term) {
-        peer::RelayedAnswer a;
+    static peer::RelayedResponse answer(std::uint64_t number, std::uint64_t fencing_token = term) {
+        peer::RelayedResponse a;
         a.number = number;
         a.outcome = peer::RelayOutcome::answered;
-        a.token = token;
-        a.orders.push_back({wire::Verb::run, {"run-2", 0}, 1, wire::Seconds(0)});
+        a.fencing_token = fencing_token;
+        a.commands.push_back({model::CommandType::run, {"run-2", 0}, 1, model::Seconds(0)});
         return a;
     }
-    void says(const std::string& member, peer::RelayedAnswer a, std::uint64_t newest_term = term) {
+    void says(const std::string& member, peer::RelayedResponse a, std::uint64_t newest_term = term) {
         peer::RelayMessage m;
         m.member = member;
         m.incarnation = leader_incarnation;
@@ -100,15 +103,15 @@
 
 TEST_F(RelayStory, a_report_that_says_nothing_new_costs_a_few_bytes_and_is_heard_as_it_is) {
     relay.follow(leads("one"));
-    peer::RelayedReports kept;
+    peer::RelayedHeartbeatCache kept;
     const auto first = ask(report("n-1", 10, 200));
     ASSERT_EQ(sent.size(), 1u);
     const auto whole = peer::encode(sent.back().second).size();
     kept.keep("two", relay_incarnation, sent.back().second.reports.at(0));
     says("one", answer(full()));
     ASSERT_TRUE(first->answer);
-    EXPECT_EQ(first->answer->token, term);
-    EXPECT_EQ(first->answer->orders.size(), 1u);
+    EXPECT_EQ(first->answer->fencing_token, term);
+    EXPECT_EQ(first->answer->commands.size(), 1u);
 
     ask(report("n-1", 11, 200));
     ASSERT_EQ(sent.size(), 2u);
@@ -123,7 +126,7 @@
 // Two reports of one worker under way, the later one a copy of what it held long ago.
 TEST_F(RelayStory, ran_twice_a_late_copy_is_not_what_the_next_report_repeats) {
     relay.follow(leads("one"));
-    peer::RelayedReports kept;
+    peer::RelayedHeartbeatCache kept;
     ask(report("n-1", 10, 3));
     const auto newest = full();
     kept.keep("two", relay_incarnation, sent.back().second.reports.at(0));
@@ -141,7 +144,7 @@
 }
 
 TEST_F(RelayStory, a_report_that_came_after_a_newer_one_is_not_kept_in_its_place) {
-    peer::RelayedReports kept;
+    peer::RelayedHeartbeatCache kept;
     kept.keep("two", relay_incarnation, {9, 1, report("n-1", 12, 3)});
     kept.keep("two", relay_incarnation, {8, 1, report("n-1", 11, 0)});
     const auto* heard = kept.repeated("two", relay_incarnation, {10, 1, 13, 9});
@@ -155,7 +158,7 @@
     ask(report("n-1", 10, 2));
     says("one", answer(full()));
     const auto again = ask(report("n-1", 11, 2));
-    peer::RelayedAnswer unknown;
+    peer::RelayedResponse unknown;
     unknown.number = sent.back().second.repeated.at(0).number;
     unknown.outcome = peer::RelayOutcome::unknown_handle;
     says("one", unknown);
@@ -180,7 +183,7 @@
     EXPECT_FALSE(waiting->over);
     says("three", answer(full(), term + 1), term + 1);
     ASSERT_TRUE(waiting->answer);
-    EXPECT_EQ(waiting->answer->token, term + 1);
+    EXPECT_EQ(waiting->answer->fencing_token, term + 1);
 }
 
 TEST_F(RelayStory, an_answer_of_a_term_that_is_overtaken_is_not_passed_on) {
@@ -253,16 +256,16 @@
 
 TEST(RelayMessage, nonsense_is_an_error_and_an_old_version_says_that_it_takes_no_part) {
     EXPECT_THROW(peer::decode_relay("nonsense"), std::exception);
-    peer::Beat beat;
-    beat.member = "one";
-    beat.relays = true;
-    beat.workers = 12;
-    beat.capacity = 30;
-    beat.fleet = 40;
-    const auto read = peer::decode(peer::encode(beat));
+    peer::StatusMessage status;
+    status.member = "one";
+    status.relays = true;
+    status.workers = 12;
+    status.capacity = 30;
+    status.fleet = 40;
+    const auto read = peer::decode(peer::encode(status));
     EXPECT_TRUE(read.relays);
     EXPECT_EQ(read.workers + read.capacity + read.fleet, 82u);
-    EXPECT_FALSE(peer::decode(peer::encode(peer::Beat{})).relays);
+    EXPECT_FALSE(peer::decode(peer::encode(peer::StatusMessage{})).relays);
 }
 
 // --- who serves whom ---
@@ -349,7 +352,7 @@
     const auto few = app::WorkerAssignment(cluster, tunables).capacity(true);
     EXPECT_GT(few, 10u);
     EXPECT_LT(few, 100u);
-    cluster.report = wire::Seconds(12);
+    cluster.report = model::Seconds(12);
     EXPECT_NEAR(app::WorkerAssignment(cluster, tunables).capacity(true), few * 4, 4);
     tunables.direct_share = 0;
     EXPECT_EQ(app::WorkerAssignment(cluster, tunables).capacity(true), 0u);
@@ -424,10 +427,10 @@
 // Plays it with those troubles under some seeds: no rule may break, and reports must have been relayed.
 void relayed(const std::string& troubles) {
     spdlog::set_level(spdlog::level::off);
-    const auto scenario = emulator::parse_scenario(relayed_world + troubles, "relayed");
+    const auto scenario = simulator::parse_scenario(relayed_world + troubles, "relayed");
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = emulator::World(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).play();
         for (const auto& [rule, first] : o.first) ADD_FAILURE() << rule << " at " << first;
         EXPECT_EQ(o.left_behind, std::vector<std::string>());
         EXPECT_GT(o.relayed, 500u);
