--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,13 +1,16 @@
 // A story for each rule that a day must not break: the danger, and that the guard holds.
 #include <algorithm>
 
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
 #include "scheduler/lease_rule.hpp"
-#include "world.hpp"
+#include "support/scheduler_harness.hpp"
 
 namespace flintdale::test {
 
-using wire::Cause;
-using wire::Shape;
+using model::ExitReason;
+using model::JobKind;
 
 namespace {
 
@@ -19,29 +22,29 @@
     return w;
 }
 
-struct Story : ::testing::Test, World {
+struct Story : ::testing::Test, SchedulerHarness {
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "b");
 
     // Two reports: the first makes a worker see the term, the second counts for what it lacks.
     void meet(Worker& w) {
-        beat(w);
-        beat(w);
+        heartbeat(w);
+        heartbeat(w);
     }
-    void start(const wire::JobSpec& spec, std::initializer_list<Worker*> workers) {
+    void start(const model::JobSpec& spec, std::initializer_list<Worker*> workers) {
         accept(spec);
         settle();
         for (auto* w : workers) meet(*w);
         ASSERT_TRUE(place());
-        for (auto* w : workers) beat(*w);
+        for (auto* w : workers) heartbeat(*w);
         for (auto* w : workers) w->run_all();
-        for (auto* w : workers) beat(*w);
+        for (auto* w : workers) heartbeat(*w);
     }
     bool on_record(const std::string& uid, const std::string& machine) const {
         return boost::json::serialize(keys.get(scheduler::work_key(uid, 0)).value).find(machine) != std::string::npos;
     }
-    static wire::JobSpec replica(const std::string& uid) {
-        auto s = job(uid, Shape::service, 1);
-        s.rank = wire::Rank::critical;
+    static model::JobSpec replica(const std::string& uid) {
+        auto s = job(uid, JobKind::service, 1);
+        s.priority = model::Priority::critical;
         s.image = "big";
         s.image_gb = 12;  // two minutes
         return s;
@@ -49,9 +52,9 @@
     // n-000001 has that image, and no room but for an array's task that saves.
     void fill_with_image() {
         elect();
-        auto array = job("run-2", Shape::array, 1);
-        array.checkpoint = Seconds(15);
-        array.save = Seconds(2);
+        auto array = job("run-2", JobKind::array, 1);
+        array.checkpoint_interval = Seconds(15);
+        array.checkpoint_duration = Seconds(2);
         start(replica("run-1"), {&m1});
         start(array, {&m1});
     }
@@ -61,11 +64,11 @@
 
 TEST_F(Story, ran_twice_a_silent_machines_task_starts_elsewhere_only_after_its_release) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
     for (int i = 0; i < 20; ++i) {  // a minute without a word from n-000001, far beyond its lease
         pass(3s);
-        beat(m2);
+        heartbeat(m2);
         place();
         ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
     }
@@ -80,7 +83,7 @@
 
 TEST_F(Story, ran_twice_the_next_leader_finds_the_intent_of_one_that_died_before_its_run) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(place());  // on record for n-000001, and then the leader is gone
@@ -88,27 +91,27 @@
     settle();
     meet(m2);
     EXPECT_FALSE(place()) << "the task may be on n-000001";
-    auto orders = beat(m1);
-    EXPECT_FALSE(ordered(orders, Verb::run, "run-1", 0)) << "n-000001 has not seen this term yet";
-    orders = beat(m1);
-    EXPECT_TRUE(ordered(orders, Verb::run, "run-1", 0));
+    auto commands = heartbeat(m1);
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
+    commands = heartbeat(m1);
+    EXPECT_TRUE(ordered(commands, CommandType::run, "run-1", 0));
     EXPECT_EQ(next.count("run-1")->done, 0u);
 }
 
 TEST_F(Story, ran_twice_no_run_leaves_before_its_intent_is_on_record) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(leader->place(now));
-    EXPECT_FALSE(ordered(beat(m1), Verb::run, "run-1", 0));
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
     commit();
-    EXPECT_TRUE(ordered(beat(m1), Verb::run, "run-1", 0));
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(Story, ran_twice_an_old_leader_cannot_record_a_placement) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     auto old = std::move(leader);
@@ -121,24 +124,24 @@
 
 TEST_F(Story, ran_twice_a_lost_answer_is_repeated_and_a_late_report_ignored) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(place());
     const auto old_report = m1.report();
-    ASSERT_TRUE(ordered(beat(m1, false), Verb::run, "run-1", 0));
-    EXPECT_TRUE(ordered(beat(m1), Verb::run, "run-1", 0)) << "the worker dropped the first answer";
-    beat(m1);
+    ASSERT_TRUE(ordered(heartbeat(m1, false), CommandType::run, "run-1", 0));
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
+    heartbeat(m1);
     EXPECT_FALSE(leader->report(old_report, now)) << "a report from before must not undo what is known";
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
-    EXPECT_FALSE(ordered(beat(m1), Verb::run, "run-1", 0));
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(Story, ran_twice_a_new_session_is_evidence) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     m1.lose_lease();
-    beat(m1);
+    heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), "");
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
@@ -146,16 +149,16 @@
 
 TEST_F(Story, quota_tasks_on_silent_machines_still_count) {
     elect();
-    auto first = job("run-1", Shape::array, 2);  // two tasks of 4 fill the limit of 8
+    auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
     first.team = "limited";
     start(first, {&m1});
     ASSERT_EQ(leader->job("run-1")->placed, 2u);
-    auto second = job("run-2", Shape::array, 1);
+    auto second = job("run-2", JobKind::array, 1);
     second.team = "limited";
     accept(second);
     for (int i = 0; i < 20; ++i) {
         pass(3s);
-        beat(m2);
+        heartbeat(m2);
         EXPECT_FALSE(place());
     }
     leader->released({"n-000001"}, now);
@@ -167,15 +170,15 @@
 // later, and puts another task in its place at once. If it ends in between, the next one reads of both.
 TEST_F(Story, quota_what_was_given_up_before_it_ran_is_not_started_by_a_leader_that_reads_of_it) {
     elect();
-    auto first = job("run-1", Shape::array, 2);  // two tasks of 4 fill the limit of 8
+    auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
     first.team = "limited";
     meet(m1);
     accept(first);
     settle();
-    beat(m1);
+    heartbeat(m1);
     ASSERT_TRUE(place());
     ASSERT_EQ(leader->job("run-1")->placed, 2u);
-    auto second = job("run-2", Shape::array, 2);
+    auto second = job("run-2", JobKind::array, 2);
     second.team = "limited";
     accept(second);
     // What is on record at that moment of the first job, which is given up, and of the second, which took its place.
@@ -187,18 +190,18 @@
     elect();
     ASSERT_EQ(leader->job("run-1")->placed + leader->job("run-2")->placed, 4u);
     for (const std::uint32_t i : {0u, 1u}) {
-        wire::TaskReport t;
+        model::TaskReport t;
         t.id = {"run-2", i};
         t.attempt = 1;
         t.status = TaskStatus::running;
         m2.tasks.push_back(t);
     }
-    beat(m1);
-    const auto orders = beat(m1);
-    EXPECT_FALSE(ordered(orders, Verb::run, "run-1", 0));
-    EXPECT_FALSE(ordered(orders, Verb::run, "run-1", 1));
-    beat(m2);
-    beat(m2);
+    heartbeat(m1);
+    const auto commands = heartbeat(m1);
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0));
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 1));
+    heartbeat(m2);
+    heartbeat(m2);
     EXPECT_EQ(leader->job("run-2")->running, 2u);
     settle();
     EXPECT_FALSE(place());
@@ -209,7 +212,7 @@
 // its worker's session before it could tell.
 TEST_F(Story, a_gang_of_which_one_member_is_known_to_be_done_places_only_the_others_again) {
     elect();
-    accept(job("run-1", Shape::gang, 2));
+    accept(job("run-1", JobKind::gang, 2));
     state::Txn txn;
     auto record = keys.get("jobs/work/run-1").value.as_object();
     record["tasks"] = wire::ranges_to_record({{0, 0, 1, "", false}, {1, 1, 1, "", true}});
@@ -219,7 +222,7 @@
     meet(m1);
     for (int i = 0; i < 3; ++i) {
         settle();
-        beat(m1);
+        heartbeat(m1);
         place();
         const auto* gang = leader->job("run-1");
         if (!gang) break;  // done, and on record
@@ -232,13 +235,13 @@
 TEST_F(Story, wrong_place_a_spread_job_counts_tasks_that_linger) {
     elect();
     auto third = machine("n-000003", "a");
-    auto spread = job("run-1", Shape::service, 2);
+    auto spread = job("run-1", JobKind::service, 2);
     spread.spread = true;
     start(spread, {&m1, &m2});
     ASSERT_NE(machine_of("run-1", 0), machine_of("run-1", 1));
     const std::uint32_t in_b = machine_of("run-1", 0) == "n-000002" ? 0 : 1;
-    m2.finish("run-1", in_b, Cause::stopped);  // zone b's replica ends, and zone b has no machine any more
-    beat(m2);
+    m2.finish("run-1", in_b, ExitReason::stopped);  // zone b's replica ends, and zone b has no machine any more
+    heartbeat(m2);
     leader->released({"n-000002"}, now);
     meet(third);
     EXPECT_FALSE(place()) << "zone a may hold one of two";
@@ -247,7 +250,7 @@
 
 TEST_F(Story, wrong_place_a_one_zone_job_stays_where_its_lingering_tasks_are) {
     elect();
-    auto together = job("run-1", Shape::array, 3);
+    auto together = job("run-1", JobKind::array, 3);
     together.one_zone = true;
     start(together, {&m1});
     ASSERT_EQ(leader->job("run-1")->placed, 2u);
@@ -260,7 +263,7 @@
 
 TEST_F(Story, wrong_place_only_allowed_types_zones_and_kinds_are_used) {
     elect();
-    auto picky = job("run-1", Shape::array, 1);
+    auto picky = job("run-1", JobKind::array, 1);
     picky.zone = "b";
     picky.types = std::vector<std::string>{"small"};
     accept(picky);
@@ -277,61 +280,61 @@
 
 TEST_F(Story, ran_cancelled_tasks_are_killed_and_intents_never_run) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});
+    start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
-    const auto orders = beat(m1);
-    EXPECT_TRUE(ordered(orders, Verb::kill, "run-1", 0));
-    EXPECT_TRUE(ordered(orders, Verb::kill, "run-1", 1));
+    const auto commands = heartbeat(m1);
+    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 0));
+    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 1));
 
-    accept(job("run-2", Shape::array, 1));
+    accept(job("run-2", JobKind::array, 1));
     settle();
-    beat(m1);
+    heartbeat(m1);
     ASSERT_TRUE(place());
     ASSERT_TRUE(cancel("run-2"));
     tell("run-2");
-    EXPECT_FALSE(ordered(beat(m1), Verb::run, "run-2", 0));
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
     commit();
-    EXPECT_EQ(keys.get("jobs/work/run-2").stamp, 0u) << "nothing of a cancelled job stays open";
+    EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "nothing of a cancelled job stays open";
 }
 
 TEST_F(Story, ran_cancelled_a_placement_is_not_recorded_for_a_job_cancelled_elsewhere) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(cancel("run-1"));  // by another controller; the leader does not know
     place();
-    EXPECT_FALSE(ordered(beat(m1), Verb::run, "run-1", 0));
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(Story, ran_cancelled_a_leader_cut_off_from_the_state_service_falls_silent_in_time) {
     const auto known = now;
     const auto room = settings.cancel - settings.lease;  // a task dies a lease after the last answer
     EXPECT_TRUE(scheduler::may_answer(settings, known + 10s, known));
-    EXPECT_FALSE(scheduler::may_answer(settings, known + wire::to_clock(room), known));
-    EXPECT_FALSE(scheduler::may_answer(settings, known + wire::to_clock(room - Seconds(3)), known));
+    EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room), known));
+    EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room - Seconds(3)), known));
 }
 
 // Found by the lab: a machine hung, the state service was away, and the leader that came after the outage counted the
 // time from its own first second. A machine that hangs does not end its work when its lease has run out.
 TEST_F(Story, ran_cancelled_a_late_leader_gives_up_a_hanging_machine_before_the_time_of_the_one_before_is_over) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});
+    start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
     pass(settings.cancel - 9s);
     elect();
     leader->ended("run-1", now, settings.cancel - 9s);
-    beat(m2);
+    heartbeat(m2);
     EXPECT_TRUE(returns().empty()) << "it may only be late";
     pass(settings.report * 1.25 + 1100ms);
-    beat(m2);
+    heartbeat(m2);
     EXPECT_EQ(returns(), std::vector<std::string>{m1.name});
 }
 
 TEST_F(Story, ran_cancelled_an_unreachable_machine_with_cancelled_work_is_released_in_time) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     std::vector<Worker> others;
     for (int i = 10; i < 14; ++i) others.push_back(machine("n-0000" + std::to_string(i), "a"));
     for (auto& w : others) meet(w);
@@ -340,12 +343,12 @@
     // All machines fall silent at once, which otherwise buys them patience.
     std::vector<std::string> going;
     const auto told = now;
-    while (going.empty() && now < told + wire::to_clock(settings.cancel)) {
+    while (going.empty() && now < told + model::to_clock(settings.cancel)) {
         pass(1s);
         going = returns();
     }
     ASSERT_FALSE(going.empty());
-    EXPECT_LT(now, told + wire::to_clock(settings.cancel * 0.8));
+    EXPECT_LT(now, told + model::to_clock(settings.cancel * 0.8));
     EXPECT_EQ(going.front(), "n-000001");
 }
 
@@ -354,7 +357,7 @@
 TEST_F(Story, ran_cancelled_hundreds_of_silent_machines_do_not_keep_one_with_cancelled_work_waiting) {
     elect();
     auto last = machine("n-900000", "a");
-    start(job("run-1", Shape::array, 1), {&last});
+    start(job("run-1", JobKind::array, 1), {&last});
     std::vector<Worker> silent, others;
     for (int i = 0; i < 120; ++i) silent.push_back(machine("n-" + std::to_string(100000 + i), "a"));
     for (int i = 0; i < 300; ++i) others.push_back(machine("n-" + std::to_string(200000 + i), "a"));
@@ -364,8 +367,8 @@
     tell("run-1");
     const auto told = now;
     std::optional<TimePoint> named, first;
-    for (; now < told + wire::to_clock(settings.cancel); pass(1s)) {
-        for (auto& w : others) beat(w);
+    for (; now < told + model::to_clock(settings.cancel); pass(1s)) {
+        for (auto& w : others) heartbeat(w);
         const auto going = leader->release(now);
         EXPECT_LE(going.size(), 100u);
         if (!first && !going.empty()) first = now;
@@ -374,27 +377,27 @@
     }
     ASSERT_TRUE(first) << "the silent ones are to be returned as well";
     ASSERT_TRUE(named);
-    EXPECT_LT(*named, told + wire::to_clock(settings.cancel * 0.8));
+    EXPECT_LT(*named, told + model::to_clock(settings.cancel * 0.8));
 }
 
-// Found by lab/meeting.toml, seed 1738: the first report that a new leader hears of a machine is a copy from an earlier
-// session.
+// Found by scenarios/meeting.toml, seed 1738: the first report that a new leader hears of a machine is a copy from an
+// earlier session.
 TEST_F(Story, ran_twice_a_copy_of_a_report_from_an_earlier_session_is_no_evidence_of_a_later_one) {
     elect();
     meet(m1);
     const auto copy = m1.report();
     m1.lose_lease();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), m1.name);
     elect();
     leader->report(copy, now);
-    beat(m1);
+    heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name) << "it runs there, in the session that this leader hears of only now";
-    beat(m1);
+    heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name);
     // A session that ends under this term is evidence.
     m1.lose_lease();
-    beat(m1);
+    heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), "");
 }
 
@@ -402,7 +405,7 @@
 // order.
 TEST_F(Story, ran_twice_a_late_write_of_the_same_term_does_not_undo_a_newer_one) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(leader->place(now));
@@ -423,7 +426,7 @@
 // It may also come first, between the reading again and the next try: that one fails then, reads, and holds.
 TEST_F(Story, ran_twice_a_late_write_that_comes_before_the_next_try_is_read_again) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     ASSERT_TRUE(leader->place(now));
@@ -437,17 +440,17 @@
     EXPECT_EQ(keys.commit(late.txn).outcome, state::Outcome::ok);
     ASSERT_TRUE(on_record("run-1", m1.name));
     // Nothing may start on the second machine before the record names it.
-    EXPECT_FALSE(ordered(beat(m2), Verb::run, "run-1", 0));
+    EXPECT_FALSE(ordered(heartbeat(m2), CommandType::run, "run-1", 0));
     commit();
     EXPECT_TRUE(on_record("run-1", m2.name));
-    EXPECT_TRUE(ordered(beat(m2), Verb::run, "run-1", 0));
+    EXPECT_TRUE(ordered(heartbeat(m2), CommandType::run, "run-1", 0));
 }
 
 // The call may go unanswered, and the state service be away by then: that the machine holds cancelled work is still
 // why.
 TEST_F(Story, ran_cancelled_a_release_that_was_not_answered_is_asked_for_again_for_the_same_reason) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
     pass(Seconds(settings.cancel * 0.6));
@@ -464,10 +467,10 @@
 // Nobody knows whether a machine with a notice is gone when it falls silent; it may as well hang.
 TEST_F(Story, ran_cancelled_a_machine_that_was_to_be_taken_and_fell_silent_is_returned_for_its_cancelled_work) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
-    m1.notice = Seconds(5);
+    m1.termination_notice = Seconds(5);
     leader->report(m1.report(), now);
     pass(Seconds(settings.cancel * 0.6));
     const auto going = leader->release(now);
@@ -477,21 +480,21 @@
 
 TEST_F(Story, not_done_a_job_is_done_only_when_its_last_task_is) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    start(job("run-1", JobKind::array, 2), {&m1});
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     commit();
     EXPECT_EQ(state_of("run-1"), "open");
-    m1.finish("run-1", 1, Cause::error);
-    beat(m1);
+    m1.finish("run-1", 1, ExitReason::error);
+    heartbeat(m1);
     commit();
     EXPECT_EQ(state_of("run-1"), "open");
     settle();
     meet(m2);
     ASSERT_TRUE(place());
-    beat(m2);
-    m2.finish("run-1", 1, Cause::done);
-    beat(m2);
+    heartbeat(m2);
+    m2.finish("run-1", 1, ExitReason::done);
+    heartbeat(m2);
     commit();
     EXPECT_EQ(state_of("run-1"), "done");
 }
@@ -499,10 +502,10 @@
 // The watch that tells of new jobs shows our own writes as well, and may show them late.
 TEST_F(Story, ran_twice_a_late_word_of_its_record_does_not_bring_a_job_back) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     const auto written = keys.get("jobs/work/run-1");
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     commit();
     ASSERT_EQ(state_of("run-1"), "done");
     ASSERT_EQ(leader->job("run-1"), nullptr);
@@ -517,21 +520,21 @@
     EXPECT_FALSE(place());
     commit();
     EXPECT_EQ(leader->job("run-1"), nullptr);
-    EXPECT_EQ(keys.get("jobs/work/run-1").stamp, 0u);
+    EXPECT_EQ(keys.get("jobs/work/run-1").mod_revision, 0u);
 }
 
 TEST_F(Story, went_back_a_cancel_and_the_last_done_race_and_one_of_them_wins) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    start(job("run-1", JobKind::array, 1), {&m1});
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     ASSERT_TRUE(cancel("run-1")) << "the leader's record of the end is not written yet";
     commit();
     EXPECT_EQ(state_of("run-1"), "aborted");
 
-    start(job("run-2", Shape::array, 1), {&m1});
-    m1.finish("run-2", 0, Cause::done);
-    beat(m1);
+    start(job("run-2", JobKind::array, 1), {&m1});
+    m1.finish("run-2", 0, ExitReason::done);
+    heartbeat(m1);
     commit();
     EXPECT_EQ(state_of("run-2"), "done");
     EXPECT_FALSE(cancel("run-2"));
@@ -540,33 +543,33 @@
 
 TEST_F(Story, forgotten_a_worker_forgets_an_outcome_only_once_it_is_on_record) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
-    EXPECT_FALSE(ordered(beat(m1), Verb::clear, "run-1", 0));
+    start(job("run-1", JobKind::array, 2), {&m1});
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::clear, "run-1", 0));
     elect();  // the leader dies without having written it: the worker still tells
     meet(m1);
     EXPECT_EQ(leader->count("run-1")->done, 1u);
     settle();
     place();  // puts on record what is due
-    EXPECT_TRUE(ordered(beat(m1), Verb::clear, "run-1", 0));
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::clear, "run-1", 0));
 }
 
 // With thousands of tasks ending all the time, a write for each would leave none for users and placements.
 TEST_F(Story, state_ended_tasks_share_a_write_and_the_last_one_is_written_at_once) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    start(job("run-1", JobKind::array, 2), {&m1});
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     EXPECT_TRUE(leader->next_batch(1000).empty());
-    m1.finish("run-1", 1, Cause::done);
-    beat(m1);
+    m1.finish("run-1", 1, ExitReason::done);
+    heartbeat(m1);
     commit();
     EXPECT_EQ(state_of("run-1"), "done");
 }
 
 TEST_F(Story, forgotten_accepted_work_outlives_every_controller) {
-    accept(job("run-1", Shape::array, 1));  // no leader was there to hear of it
+    accept(job("run-1", JobKind::array, 1));  // no leader was there to hear of it
     elect();
     settle();
     meet(m1);
@@ -577,7 +580,7 @@
 // In a large fleet some machine is always gone; to wait the whole round for it cost every hand-over seconds.
 TEST_F(Story, leader_a_new_one_places_when_nearly_all_machines_with_work_have_reported) {
     elect();
-    auto whole = job("run-1", Shape::array, 20);
+    auto whole = job("run-1", JobKind::array, 20);
     whole.need = {8, 2, 40};
     accept(whole);
     settle();
@@ -586,26 +589,26 @@
         workers.push_back(machine("n-00010" + std::string(1, static_cast<char>('a' + i)), "a"));
     for (auto& w : workers) meet(w);
     ASSERT_TRUE(place());
-    accept(job("run-2", Shape::array, 1));
+    accept(job("run-2", JobKind::array, 1));
     elect();
     meet(m1);  // it has room, and no work on record
-    for (int i = 0; i < 18; ++i) beat(workers[static_cast<std::size_t>(i)]);
+    for (int i = 0; i < 18; ++i) heartbeat(workers[static_cast<std::size_t>(i)]);
     EXPECT_FALSE(place());
-    beat(workers[18]);
+    heartbeat(workers[18]);
     EXPECT_TRUE(place());
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-// Orders travel in answers only. Where a report makes room, its own answer may still carry the next run.
+// Commands travel in answers only. Where a report makes room, its own answer may still carry the next run.
 TEST_F(Story, report_an_answer_that_waits_carries_what_was_placed_meanwhile_unless_a_newer_report_came) {
     using Prospect = scheduler::Scheduler::Prospect;
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});  // fills the machine
-    accept(job("run-2", Shape::array, 1));
+    start(job("run-1", JobKind::array, 2), {&m1});  // fills the machine
+    accept(job("run-2", JobKind::array, 1));
     settle();
-    beat(m1);
+    heartbeat(m1);
     EXPECT_FALSE(place());
-    m1.finish("run-1", 0, Cause::done);
+    m1.finish("run-1", 0, ExitReason::done);
     const auto report = m1.report();
     ASSERT_TRUE(leader->report(report, now)->empty());
     const auto passes = leader->passes();
@@ -622,7 +625,7 @@
 
 TEST_F(Story, report_a_waiting_answer_carries_no_run_of_a_job_cancelled_meanwhile) {
     elect();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
     meet(m1);
     const auto report = m1.report();
@@ -641,7 +644,7 @@
         workers.push_back(machine("n-00010" + std::string(1, static_cast<char>('a' + i)), "a"));
     const auto all_report = [&] {
         for (auto& w : workers)
-            if (!leader->ledger().gone(w.name)) beat(w);
+            if (!leader->inventory().gone(w.name)) heartbeat(w);
     };
     all_report();
     leader->improve(now);
@@ -668,8 +671,8 @@
     accept(replica("run-3"));
     place();
     EXPECT_EQ(machine_of("run-3", 0), "") << "n-000002 has room, but not the image";
-    EXPECT_TRUE(ordered(beat(m1), Verb::kill, "run-2", 0));
-    beat(m1);
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-2", 0));
+    heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
 }
@@ -681,7 +684,7 @@
     place();
     ASSERT_EQ(machine_of("run-3", 0), "");
     pass(8s);  // n-000001 hangs
-    beat(m2);
+    heartbeat(m2);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-3", 0), "n-000002");
 }
@@ -689,7 +692,7 @@
 TEST_F(Story, gang_a_task_lost_before_the_start_is_replaced_under_the_same_attempt) {
     elect();
     auto third = machine("n-000003", "b");
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};  // a whole machine each
     accept(gang);
     settle();
@@ -697,8 +700,8 @@
     EXPECT_FALSE(place()) << "all or none";
     meet(m2);
     ASSERT_TRUE(place());
-    beat(m1);
-    beat(m2);
+    heartbeat(m1);
+    heartbeat(m2);
     leader->released({"n-000002"}, now);
     meet(third);
     ASSERT_TRUE(place());
@@ -710,7 +713,7 @@
 TEST_F(Story, gang_a_new_attempt_waits_until_the_old_one_is_gone) {
     elect();
     auto third = machine("n-000003", "a");
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
     start(gang, {&m1, &m2});
     ASSERT_TRUE(leader->job("run-1")->gang_started);
@@ -719,8 +722,8 @@
     m2 = machine("n-000004", "b");
     meet(m2);
     EXPECT_FALSE(place()) << "n-000001 still holds a task of the first attempt";
-    EXPECT_TRUE(ordered(beat(m1), Verb::kill, "run-1", machine_of("run-1", 0) == "n-000001" ? 0 : 1));
-    beat(m1);
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", machine_of("run-1", 0) == "n-000001" ? 0 : 1));
+    heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
     EXPECT_EQ(leader->job("run-1")->tasks[1].attempt, 2u);
@@ -730,70 +733,70 @@
 // first gave up waiting cost the slow ones their fetch, time and again: 350 s until a gang started.
 TEST_F(Story, gang_a_member_that_gave_up_waiting_keeps_its_place_until_the_others_have_their_image) {
     elect();
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
     accept(gang);
     settle();
     meet(m1);
     meet(m2);
     ASSERT_TRUE(place());
-    beat(m1);
-    beat(m2);
+    heartbeat(m1);
+    heartbeat(m2);
     const auto on_m1 = m1.tasks.at(0).id.index, on_m2 = m2.tasks.at(0).id.index;
     m1.find("run-1", on_m1)->status = TaskStatus::waiting;
-    beat(m1);
-    beat(m2);
-    m1.finish("run-1", on_m1, Cause::alone);
-    beat(m1);
-    EXPECT_TRUE(beat(m2).empty()) << "it still fetches";
+    heartbeat(m1);
+    heartbeat(m2);
+    m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
+    heartbeat(m1);
+    EXPECT_TRUE(heartbeat(m2).empty()) << "it still fetches";
     EXPECT_EQ(machine_of("run-1", on_m1), "n-000001");
     m2.find("run-1", on_m2)->status = TaskStatus::waiting;
-    beat(m2);
+    heartbeat(m2);
     commit();
-    EXPECT_TRUE(ordered(beat(m1), Verb::run, "run-1", on_m1));
-    const auto orders = beat(m2);
-    ASSERT_EQ(orders.size(), 2u);
-    EXPECT_EQ(orders[0].verb, Verb::kill);
-    EXPECT_EQ(orders[0].attempt, 1u);
-    EXPECT_EQ(orders[1].verb, Verb::run);
-    EXPECT_EQ(orders[1].attempt, 2u);
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", on_m1));
+    const auto commands = heartbeat(m2);
+    ASSERT_EQ(commands.size(), 2u);
+    EXPECT_EQ(commands[0].type, CommandType::kill);
+    EXPECT_EQ(commands[0].attempt, 1u);
+    EXPECT_EQ(commands[1].type, CommandType::run);
+    EXPECT_EQ(commands[1].attempt, 2u);
     EXPECT_EQ(leader->job("run-1")->parked, 0u);
 }
 
-// lab/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept for it stood empty
-// for over 90 s beside work that would have fitted.
+// scenarios/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept for it stood
+// empty for over 90 s beside work that would have fitted.
 TEST_F(Story, gang_a_place_is_not_kept_for_members_that_find_none) {
     elect();
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
     accept(gang);
     settle();
     meet(m1);
     meet(m2);
     ASSERT_TRUE(place());
-    beat(m1);
-    beat(m2);
+    heartbeat(m1);
+    heartbeat(m2);
     const auto on_m1 = m1.tasks.at(0).id.index;
     m1.find("run-1", on_m1)->status = TaskStatus::waiting;
-    beat(m1);
-    m1.finish("run-1", on_m1, Cause::alone);
-    beat(m1);
+    heartbeat(m1);
+    m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
+    heartbeat(m1);
     leader->released({"n-000002"}, now);
-    auto other = job("run-2", Shape::array, 1);
+    auto other = job("run-2", JobKind::array, 1);
     other.need = {8, 2, 40};
     accept(other);
     settle();
     pass(Seconds(20));
-    beat(m1);
+    heartbeat(m1);
     leader->improve(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other may find a place soon";
     pass(Seconds(15));
-    beat(m1);
+    heartbeat(m1);
     leader->improve(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "");
     EXPECT_EQ(leader->job("run-1")->parked, 0u);
     commit();
-    beat(m1);
+    heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
@@ -802,16 +805,16 @@
     elect();
     meet(m1);  // a late rental of a leader that is gone
     settle();
-    accept(job("run-1", Shape::array, 1));
+    accept(job("run-1", JobKind::array, 1));
     settle();
-    beat(m1);
+    heartbeat(m1);
     EXPECT_TRUE(place());
     auto idle = machine("n-000009", "a");
     meet(idle);
     for (int i = 0; i < 40; ++i) {
         pass(3s);
-        beat(idle);
-        beat(m1);
+        heartbeat(idle);
+        heartbeat(m1);
     }
     EXPECT_EQ(returns(), std::vector<std::string>{"n-000009"});
 }
@@ -820,9 +823,9 @@
 // successor was using them.
 TEST_F(Story, fleet_a_leader_that_stood_still_does_not_blame_the_machines) {
     elect();
-    start(job("run-1", Shape::array, 1), {&m1});
+    start(job("run-1", JobKind::array, 1), {&m1});
     pass(40s);
-    leader->stood_still(40s);
+    leader->process_paused(40s);
     EXPECT_TRUE(returns().empty());
     pass(40s);
     EXPECT_FALSE(returns().empty()) << "real silence still counts";
@@ -834,11 +837,12 @@
     std::vector<Worker> all;
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) meet(w);
-    EXPECT_FALSE(leader->hearing(now).deaf());
+    EXPECT_FALSE(leader->heartbeat_coverage(now).cut_off_from_workers());
     pass(settings.report * 1.25 + 2s);
-    EXPECT_TRUE(leader->hearing(now).deaf()) << "and that is told soon, for every lease is running out";
-    accept(job("run-1", Shape::array, 40));
-    for (const auto later = now + wire::to_clock(settings.lease * 2); now < later; pass(1s)) {
+    EXPECT_TRUE(leader->heartbeat_coverage(now).cut_off_from_workers())
+        << "and that is told soon, for every lease is running out";
+    accept(job("run-1", JobKind::array, 40));
+    for (const auto later = now + model::to_clock(settings.lease * 2); now < later; pass(1s)) {
         EXPECT_TRUE(returns().empty());
         EXPECT_TRUE(leader->rent(now).empty()) << "what is needed is a hearing, not machines";
     }
@@ -854,7 +858,7 @@
     const auto cut = now;
     while (now < cut + 60s && returns().empty()) {
         pass(1s);
-        for (std::size_t k = 0; k < 3; ++k) beat(all[k]);
+        for (std::size_t k = 0; k < 3; ++k) heartbeat(all[k]);
     }
     EXPECT_GT(now, cut + 40s);
     EXPECT_LT(now, cut + 50s);
@@ -865,16 +869,16 @@
 TEST_F(Story, fleet_a_crowd_that_the_cloud_no_longer_lists_is_given_up_without_further_patience) {
     elect();
     std::vector<Worker> all;
-    std::vector<wire::ListedMachine> list;
+    std::vector<model::ListedMachine> list;
     for (int i = 1; i < 7; ++i) {
         all.push_back(machine("n-00000" + std::to_string(i), "a"));
         if (i < 4)
-            list.push_back({all.back().name, "", "small", "a", false, wire::MachineStatus::running, Seconds(60)});
+            list.push_back({all.back().name, "", "small", "a", false, model::MachineStatus::running, Seconds(60)});
     }
     for (auto& w : all) meet(w);
     for (int i = 0; i < 5; ++i) {  // half of them say nothing any more
         pass(3s);
-        for (int k = 0; k < 3; ++k) beat(all[static_cast<std::size_t>(k)]);
+        for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
     }
     EXPECT_TRUE(returns().empty()) << "so many at once are rather out of reach than dead";
     leader->listed(list, now);
@@ -883,10 +887,10 @@
 
 TEST_F(Story, queue_what_found_no_room_waits_shortest_first_and_ahead_of_new_windows) {
     elect();
-    auto filler = job("run-1", Shape::array, 2);
+    auto filler = job("run-1", JobKind::array, 2);
     start(filler, {&m1});  // n-000001 is full
-    auto long_job = job("run-2", Shape::array, 1), short_job = job("run-3", Shape::array, 1);
-    long_job.estimate = Seconds(600);
+    auto long_job = job("run-2", JobKind::array, 1), short_job = job("run-3", JobKind::array, 1);
+    long_job.estimated_runtime = Seconds(600);
     long_job.accepted_ms = 1'000;
     short_job.accepted_ms = 21'000;  // some windows later
     accept(long_job);
@@ -895,9 +899,9 @@
     accept(short_job);
     settle();
     EXPECT_FALSE(place());
-    beat(m1);
-    m1.finish("run-1", 0, Cause::done);
-    beat(m1);
+    heartbeat(m1);
+    m1.finish("run-1", 0, ExitReason::done);
+    heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
     EXPECT_EQ(machine_of("run-2", 0), "");
@@ -906,22 +910,22 @@
 // Arrays held the small ordinary machines that suit gangs, which were rented large ones meanwhile.
 TEST_F(Story, queue_an_array_that_may_use_spot_leaves_ordinary_machines_to_a_waiting_gang_for_half_its_time) {
     elect();
-    auto gang = job("run-1", Shape::gang, 2);
+    auto gang = job("run-1", JobKind::gang, 2);
     gang.need.cpus = 8;
     accept(gang);
     settle();
     meet(m1);
     EXPECT_FALSE(place()) << "it needs two machines";
-    auto array = job("run-2", Shape::array, 1);
+    auto array = job("run-2", JobKind::array, 1);
     array.spot = true;
     array.deadline = Seconds(60);
     accept(array);
     auto other = array;
     other.uid = "run-3";
-    other.rank = wire::Rank::high;
+    other.priority = model::Priority::high;
     accept(other);
     settle();
-    beat(m1);
+    heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
     EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a higher rank waits for nobody";
@@ -934,10 +938,10 @@
 TEST_F(Story, queue_a_critical_service_does_not_wait_for_its_window) {
     elect();
     meet(m1);
-    auto critical = job("run-1", Shape::service, 1);
-    critical.rank = wire::Rank::critical;
+    auto critical = job("run-1", JobKind::service, 1);
+    critical.priority = model::Priority::critical;
     accept(critical);
-    accept(job("run-2", Shape::array, 1));
+    accept(job("run-2", JobKind::array, 1));
     EXPECT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_EQ(machine_of("run-2", 0), "");
@@ -945,24 +949,25 @@
 
 TEST_F(Story, preemption_makes_room_for_a_critical_task_and_never_for_an_equal_one) {
     elect();
-    start(job("run-1", Shape::array, 2), {&m1});  // n-000001 is full
-    accept(job("run-2", Shape::array, 1));
-    auto critical = job("run-3", Shape::service, 1);
+    start(job("run-1", JobKind::array, 2), {&m1});  // n-000001 is full
+    accept(job("run-2", JobKind::array, 1));
+    auto critical = job("run-3", JobKind::service, 1);
     for (int i = 0; i < 4; ++i) {
         settle();
-        beat(m1);
+        heartbeat(m1);
         place();
         EXPECT_EQ(leader->job("run-1")->placed, 2u) << "equals wait";
     }
-    critical.rank = wire::Rank::critical;
+    critical.priority = model::Priority::critical;
     accept(critical);
     place();  // found no room
     place();
-    std::vector<Order> orders = beat(m1);
-    const int kills = ordered(orders, Verb::kill, "run-1", 0) + ordered(orders, Verb::kill, "run-1", 1);
+    std::vector<Command> commands = heartbeat(m1);
+    const int kills =
+        ordered(commands, CommandType::kill, "run-1", 0) + ordered(commands, CommandType::kill, "run-1", 1);
     EXPECT_EQ(kills, 1) << "no more than it takes";
     EXPECT_EQ(machine_of("run-3", 0), "") << "the room is not free before the task is gone";
-    beat(m1);
+    heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
 }
@@ -972,23 +977,23 @@
 TEST_F(Story, preemption_idle_tasks_give_a_whole_gang_its_machines_or_are_left_alone) {
     elect();
     m2.zone = "a";
-    auto idle = job("run-1", Shape::array, 4);
-    idle.rank = wire::Rank::idle;
+    auto idle = job("run-1", JobKind::array, 4);
+    idle.priority = model::Priority::idle;
     idle.need = {4, 0, 10};
-    idle.checkpoint = Seconds(15);
-    idle.save = Seconds(2);
+    idle.checkpoint_interval = Seconds(15);
+    idle.checkpoint_duration = Seconds(2);
     start(idle, {&m1, &m2});
     ASSERT_EQ(leader->job("run-1")->placed, 4u);
-    auto gang = job("run-3", Shape::gang, 3);  // more than there are machines
+    auto gang = job("run-3", JobKind::gang, 3);  // more than there are machines
     gang.need = {8, 2, 40};
     gang.one_zone = true;
     const auto kills = [&] {
         settle();
-        for (auto* w : {&m1, &m2}) beat(*w);
+        for (auto* w : {&m1, &m2}) heartbeat(*w);
         std::size_t n = 0;
         for (int i = 0; i < 2; ++i) place();
         for (auto* w : {&m1, &m2})
-            for (const auto& o : beat(*w)) n += o.verb == Verb::kill;
+            for (const auto& o : heartbeat(*w)) n += o.type == CommandType::kill;
         return n;
     };
     accept(gang);
@@ -999,7 +1004,7 @@
     gang.tasks = 2;
     accept(gang);
     EXPECT_EQ(kills(), 4u);
-    for (auto* w : {&m1, &m2}) beat(*w);
+    for (auto* w : {&m1, &m2}) heartbeat(*w);
     place();
     EXPECT_EQ(leader->job("run-2")->placed, 2u);
     EXPECT_EQ(leader->job("run-1")->placed, 0u);
@@ -1007,30 +1012,30 @@
 
 TEST_F(Story, moves_a_service_goes_to_the_machine_that_has_its_image_and_only_once_it_is_gone) {
     elect();
-    auto slow = job("run-1", Shape::service, 1), quick = job("run-2", Shape::service, 1);
+    auto slow = job("run-1", JobKind::service, 1), quick = job("run-2", JobKind::service, 1);
     slow.image_gb = quick.image_gb = 10;
     accept(slow);
     settle();
     meet(m1);
     ASSERT_TRUE(place());
-    beat(m1);
-    beat(m1);
+    heartbeat(m1);
+    heartbeat(m1);
     accept(quick);
     settle();
     meet(m2);
     ASSERT_TRUE(place());
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
-    beat(m1);
-    beat(m2);
+    heartbeat(m1);
+    heartbeat(m2);
     ASSERT_EQ(machine_of("run-2", 0), "n-000002");
-    beat(m2);  // both fetch the image, and n-000002 has it first
+    heartbeat(m2);  // both fetch the image, and n-000002 has it first
     m2.run_all();
-    beat(m2);
+    heartbeat(m2);
     leader->improve(now);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "it may still be there";
-    EXPECT_TRUE(ordered(beat(m1), Verb::kill, "run-1", 0));
-    beat(m1);
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", 0));
+    heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
 }
@@ -1040,18 +1045,18 @@
     std::vector<Worker> all;
     for (int i = 1; i < 6; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) meet(w);
-    accept(job("run-bad", Shape::array, 1));  // fails wherever it is put
+    accept(job("run-bad", JobKind::array, 1));  // fails wherever it is put
     settle();
     for (int round = 0; round < 5; ++round) {
         pass(90s);
         for (auto& w : all) meet(w);
         place();
         for (auto& w : all) {
-            beat(w);
-            if (w.find("run-bad", 0)) w.finish("run-bad", 0, Cause::error);
-            beat(w);
+            heartbeat(w);
+            if (w.find("run-bad", 0)) w.finish("run-bad", 0, ExitReason::error);
+            heartbeat(w);
             commit();
-            beat(w);
+            heartbeat(w);
         }
     }
     EXPECT_GE(leader->job("run-bad")->errors, 3u);
@@ -1061,22 +1066,22 @@
 // The operators' evenings: what waited for machines that were late or never came up waited in vain.
 TEST_F(Story, fleet_what_should_long_be_up_is_not_counted_on_and_its_pool_is_the_second_choice) {
     elect();
-    auto wanted = job("run-1", Shape::gang, 3);
+    auto wanted = job("run-1", JobKind::gang, 3);
     wanted.one_zone = true;
     wanted.need = {8, 2, 40};  // a whole small machine each
     accept(wanted);
-    const auto orders = leader->rent(now);
-    ASSERT_EQ(orders.size(), 1u);
-    ASSERT_EQ(orders[0].count, 3);
-    leader->rented(orders[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
+    const auto commands = leader->rent(now);
+    ASSERT_EQ(commands.size(), 1u);
+    ASSERT_EQ(commands[0].count, 3);
+    leader->rented(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
     pass(Seconds(45));
     EXPECT_TRUE(leader->rent(now).empty()) << "they may take half as long again as usual";
     pass(Seconds(5));
     const auto again = leader->rent(now);
     ASSERT_FALSE(again.empty());
-    EXPECT_NE(again[0].pool, orders[0].pool);
+    EXPECT_NE(again[0].pool, commands[0].pool);
     for (const auto* name : {"n-000001", "n-000002", "n-000003"}) {  // late, but there
-        auto w = machine(name, orders[0].pool.zone, orders[0].pool.type);
+        auto w = machine(name, commands[0].pool.zone, commands[0].pool.type);
         meet(w);
     }
     EXPECT_TRUE(place());
@@ -1090,17 +1095,17 @@
     meet(m2);
     const auto fail_all = [&] {
         for (auto* w : {&m1, &m2}) {
-            beat(*w);
-            for (auto& t : w->tasks) w->finish(t.id.uid, t.id.index, Cause::error);
-            beat(*w);
+            heartbeat(*w);
+            for (auto& t : w->tasks) w->finish(t.id.uid, t.id.index, ExitReason::error);
+            heartbeat(*w);
             commit();
-            beat(*w);
+            heartbeat(*w);
         }
     };
     for (const auto* uid : {"run-1", "run-2"}) {
-        accept(job(uid, Shape::array, 4));
+        accept(job(uid, JobKind::array, 4));
         settle();
-        for (auto* w : {&m1, &m2}) beat(*w);
+        for (auto* w : {&m1, &m2}) heartbeat(*w);
         place();
         ASSERT_GE(leader->job(uid)->placed, 3u) << "one place is for what failed before";
         fail_all();
@@ -1110,17 +1115,17 @@
     EXPECT_FALSE(place()) << "a pause first";
     EXPECT_TRUE(leader->rent(now).empty());
     pass(20s);
-    for (auto* w : {&m1, &m2}) beat(*w);
+    for (auto* w : {&m1, &m2}) heartbeat(*w);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->placed, 1u);
     for (auto* w : {&m1, &m2}) {
-        beat(*w);
+        heartbeat(*w);
         for (auto& t : w->tasks)
-            if (t.id.uid == "run-1") w->finish("run-1", t.id.index, Cause::done);
-        beat(*w);
+            if (t.id.uid == "run-1") w->finish("run-1", t.id.index, ExitReason::done);
+        heartbeat(*w);
     }
     settle();
-    for (auto* w : {&m1, &m2}) beat(*w);
+    for (auto* w : {&m1, &m2}) heartbeat(*w);
     place();
     EXPECT_FALSE(leader->job("run-1")->doubtful());
     EXPECT_EQ(leader->job("run-1")->placed, 3u);
--- a/tests/submission_service_test.cpp
+++ b/tests/submission_service_test.cpp
@@ -1,7 +1,8 @@
 // What users are told, by one controller and by another.
 #include "api/submission_service.hpp"
 
-#include "fake_store.hpp"
+#include "model/machine.hpp"
+#include "support/fake_store.hpp"
 
 namespace flintdale::test {
 
@@ -11,21 +12,21 @@
     net::asio::io_context io;
     FakeStore store;
     config::Settings cluster = settings();
-    std::vector<wire::MachineType> known = types();
+    std::vector<model::MachineType> known = types();
     bool types_known = true, certain = true;
     std::map<std::string, api::Remembered> remembered;
-    std::map<std::string, state::Item> open_records;
+    std::map<std::string, state::KeyValue> open_records;
     std::set<std::string> told_cancelled;
-    state::Form form{cluster};
-    api::SubmissionService one{io.get_executor(), store, cluster, form, links(), 100},
-        two{io.get_executor(), store, cluster, form, links(), 100};
+    state::RecordFormat record_format{cluster};
+    api::SubmissionService one{io.get_executor(), store, cluster, record_format, callbacks(), 100},
+        two{io.get_executor(), store, cluster, record_format, callbacks(), 100};
 
-    api::SubmissionService::Links links() {
+    api::SubmissionService::Callbacks callbacks() {
         return {[] { return std::int64_t{1000}; },
                 [this](const std::string& uid) { told_cancelled.insert(uid); },
                 [this] { return types_known ? &known : nullptr; },
                 [](const std::string&) { return api::DisplayCount{}; },
-                [](const state::Item&) {},
+                [](const state::KeyValue&) {},
                 [this](const std::string& uid) {
                     const auto it = remembered.find(uid);
                     return it == remembered.end() ? std::nullopt : std::optional(it->second);
@@ -121,7 +122,7 @@
     const auto r = run(one.submit(body("run-2")));
     EXPECT_EQ(r.status, 503u);
     EXPECT_GT(r.retry_after, 0u);
-    EXPECT_EQ(store.keys.get("jobs/work/run-2").stamp, 0u);
+    EXPECT_EQ(store.keys.get("jobs/work/run-2").mod_revision, 0u);
 }
 
 // What can't run is never accepted, by any path: repeated, before the machine types are known, in an outage.
@@ -149,7 +150,7 @@
 TEST_F(SubmissionServiceStory, an_accepted_answer_means_it_is_on_record_even_if_the_answer_was_lost) {
     store.lose_answers = 1;
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 200u);
-    EXPECT_GT(store.keys.get("jobs/work/run-1").stamp, 0u);
+    EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     store.refuse = true;
     EXPECT_EQ(run(one.submit(body("run-2"))).status, 503u);
 }
@@ -198,13 +199,13 @@
     EXPECT_GT(r.retry_after, 0u);
     EXPECT_EQ(run(one.submit(after("run-3", "[]"))).status, 201u) << "none, empty and null are the same";
     EXPECT_EQ(run(one.submit(after("run-4", "null"))).status, 201u);
-    form.all_read(state::newest_format);
+    record_format.all_read(state::newest_format);
     EXPECT_EQ(run(two.submit(after("run-2", R"(["run-1","run-1"])"))).status, 201u);
     EXPECT_EQ(run(one.submit(after("run-2", R"(["run-999"])"))).status, 200u) << "a repetition, whatever it names";
 }
 
 TEST_F(SubmissionServiceStory, only_jobs_that_were_accepted_and_can_be_done_may_be_named) {
-    form.all_read(state::newest_format);
+    record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     auto service = body("run-2");
     service.replace(service.find("array"), 5, "standing");
@@ -221,7 +222,7 @@
 }
 
 TEST_F(SubmissionServiceStory, orphaned_whoever_is_asked_tells_aborted_as_soon_as_what_a_job_needs_is_cancelled) {
-    form.all_read(state::newest_format);
+    record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(one.submit(after("run-2", R"(["run-1"])"))).status, 201u);
     ASSERT_EQ(run(two.submit(after("run-3", R"(["run-2"])"))).status, 201u);
@@ -235,7 +236,7 @@
 }
 
 TEST_F(SubmissionServiceStory, a_job_whose_prerequisites_are_done_is_pending_like_any) {
-    form.all_read(state::newest_format);
+    record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.submit(after("run-2", R"(["run-1"])"))).status, 201u);
     end("run-1", "done");
@@ -258,8 +259,8 @@
     next.next_limits = next.limits;
     next.next_limits->value_bytes = 2048;
     next.next_limits->txn_ops = 4;
-    form = state::Form(next);
-    form.all_read(state::newest_format);
+    record_format = state::RecordFormat(next);
+    record_format.all_read(state::newest_format);
     EXPECT_EQ(run(one.submit(many)).status, 201u);
     EXPECT_EQ(told(two, "run-1"), "pending");
     ASSERT_EQ(run(two.cancel("run-1")).status, 200u);
@@ -275,7 +276,7 @@
 // What is known of jobs is a cache, and may be emptied of what somebody is just being answered by: accepted jobs were
 // answered with 404, for the look-up after the check found no entry (docs/incidents/cache-emptied-in-use.md).
 TEST_F(SubmissionServiceStory, forgotten_a_cache_that_holds_fewer_jobs_than_are_asked_for_forgets_none) {
-    api::SubmissionService small{io.get_executor(), store, cluster, form, links(), 1};
+    api::SubmissionService small{io.get_executor(), store, cluster, record_format, callbacks(), 1};
     for (int i = 1; i <= 6; ++i) ASSERT_EQ(run(two.submit(body("run-" + std::to_string(i)))).status, 201u);
     end("run-5", "done");
     for (int round = 0; round < 3; ++round) {
@@ -294,8 +295,8 @@
 // That a job must be aborted, for one that it needs was cancelled, was told before it was on record, and lived in the
 // cache alone.
 TEST_F(SubmissionServiceStory, went_back_aborted_by_what_it_needs_is_on_record_before_it_is_told) {
-    form.all_read(state::newest_format);
-    api::SubmissionService small{io.get_executor(), store, cluster, form, links(), 1};
+    record_format.all_read(state::newest_format);
+    api::SubmissionService small{io.get_executor(), store, cluster, record_format, callbacks(), 1};
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.submit(after("run-2", R"(["run-1"])"))).status, 201u);
     ASSERT_EQ(run(two.submit(after("run-3", R"(["run-2"])"))).status, 201u);
@@ -303,7 +304,7 @@
     ASSERT_EQ(run(two.cancel("run-1")).status, 200u);
     store.lose_answers = 0;
     EXPECT_EQ(told(small, "run-3"), "aborted");
-    EXPECT_GT(store.keys.get("jobs/over/run-3").stamp, 0u);
+    EXPECT_GT(store.keys.get("jobs/over/run-3").mod_revision, 0u);
     // Whoever asks another controller, or while many others ask, is told the same.
     for (int i = 10; i < 14; ++i) ASSERT_EQ(run(small.submit(body("run-" + std::to_string(i)))).status, 201u);
     EXPECT_EQ(told(small, "run-3"), "aborted");
@@ -313,8 +314,8 @@
 
 // One comparison without an answer held back all questions that came after it, until their users had gone.
 TEST_F(SubmissionServiceStory, forgotten_a_comparison_that_is_never_answered_holds_back_nobody_else) {
-    wire::TimePoint now{std::chrono::seconds(1000)};
-    wire::Clock::emulated = &now;
+    model::TimePoint now{std::chrono::seconds(1000)};
+    model::Clock::simulated = &now;
     const auto began = now;
     for (const auto* uid : {"run-1", "run-2"}) {
         state::Txn txn;
@@ -323,30 +324,30 @@
         store.keys.commit(txn);
     }
     {
-        net::asio::io_context emulated;
-        api::SubmissionService submissions{emulated.get_executor(), store, cluster, form, links(), 100};
-        std::map<std::string, std::pair<unsigned, wire::Seconds>> answers;
+        net::asio::io_context simulated;
+        api::SubmissionService submissions{simulated.get_executor(), store, cluster, record_format, callbacks(), 100};
+        std::map<std::string, std::pair<unsigned, model::Seconds>> answers;
         const auto ask = [&](const std::string& uid) {
-            net::asio::co_spawn(emulated, submissions.poll(uid), [&, uid](std::exception_ptr, net::Reply r) {
+            net::asio::co_spawn(simulated, submissions.poll(uid), [&, uid](std::exception_ptr, net::Reply r) {
                 answers[uid] = {r.status, now - began};
             });
-            emulated.poll();
+            simulated.poll();
         };
         store.stall = 1;
         ask("run-1");
         ask("run-2");
         for (int i = 0; i < 600 && answers.size() < 2; ++i) {
             now += std::chrono::milliseconds(5);
-            emulated.restart();
-            emulated.poll();
+            simulated.restart();
+            simulated.poll();
         }
         ASSERT_EQ(answers.size(), 2u);
         EXPECT_EQ(answers["run-2"].first, 200u);
-        EXPECT_LT(answers["run-2"].second, wire::Seconds(0.2));
+        EXPECT_LT(answers["run-2"].second, model::Seconds(0.2));
         EXPECT_EQ(answers["run-1"].first, 503u) << "and whoever asked for it is told to come again, in his time";
-        EXPECT_LE(answers["run-1"].second, wire::Seconds(2.01));
+        EXPECT_LE(answers["run-1"].second, model::Seconds(2.01));
     }
-    wire::Clock::emulated = nullptr;
+    model::Clock::simulated = nullptr;
 }
 
 TEST_F(SubmissionServiceStory, what_is_remembered_to_be_open_needs_one_comparison_and_no_reading) {
--- a/tests/world.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -1,7 +1,12 @@
-#include "world.hpp"
+#include "support/scheduler_harness.hpp"
 
 #include <spdlog/spdlog.h>
 
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
+
 namespace flintdale::test {
 
 namespace {
@@ -43,22 +48,22 @@
                                   "test");
 }
 
-wire::JobSpec job(const std::string& uid, wire::Shape shape, std::uint32_t tasks) {
-    wire::JobSpec s;
+model::JobSpec job(const std::string& uid, model::JobKind kind, std::uint32_t tasks) {
+    model::JobSpec s;
     s.uid = uid;
     s.job_class = "class";
     s.team = "team";
     s.image = "image";
-    s.shape = shape;
+    s.kind = kind;
     s.tasks = tasks;
     s.need = {4, 1, 10};
     s.image_gb = 1;
-    s.estimate = shape == wire::Shape::service ? Seconds(0) : Seconds(60);
+    s.estimated_runtime = kind == model::JobKind::service ? Seconds(0) : Seconds(60);
     return s;
 }
 
-std::vector<wire::MachineType> types() {
-    wire::MachineType small;
+std::vector<model::MachineType> types() {
+    model::MachineType small;
     small.name = "small";
     small.capacity = {8, 2, 64};
     small.cache_gb = 50;
@@ -85,7 +90,7 @@
         return r;
     }
     for (const auto& c : txn.conditions)
-        if (get(c.key).stamp != c.stamp) r.failed.push_back(c.key);
+        if (get(c.key).mod_revision != c.mod_revision) r.failed.push_back(c.key);
     if (!r.failed.empty()) {
         r.outcome = state::Outcome::conflict;
         r.revision = revision_;
@@ -103,64 +108,64 @@
     return r;
 }
 
-state::Item Keys::get(const std::string& key) const {
+state::KeyValue Keys::get(const std::string& key) const {
     const auto it = items_.find(key);
-    return it == items_.end() ? state::Item{key, {}, 0} : it->second;
+    return it == items_.end() ? state::KeyValue{key, {}, 0} : it->second;
 }
 
-std::vector<state::Item> Keys::range(const std::string& prefix) const {
-    std::vector<state::Item> out;
+std::vector<state::KeyValue> Keys::range(const std::string& prefix) const {
+    std::vector<state::KeyValue> out;
     for (const auto& [key, item] : items_)
         if (key.starts_with(prefix)) out.push_back(item);
     return out;
 }
 
-wire::WorkerReport Worker::report() {
-    wire::WorkerReport r;
+model::Heartbeat Worker::report() {
+    model::Heartbeat r;
     r.machine = name;
     r.addr = "10.0.0.9:9000";
     r.type = type;
     r.zone = zone;
     r.spot = spot;
-    r.tenure = tenure;
-    r.tick = ++tick;
-    r.token = token;
-    r.notice = notice;
+    r.incarnation = incarnation;
+    r.sequence = ++sequence;
+    r.fencing_token = fencing_token;
+    r.termination_notice = termination_notice;
     r.tasks = tasks;
     return r;
 }
 
-wire::TaskReport* Worker::find(const std::string& uid, std::uint32_t index) {
+model::TaskReport* Worker::find(const std::string& uid, std::uint32_t index) {
     for (auto& t : tasks)
         if (t.id.uid == uid && t.id.index == index) return &t;
     return nullptr;
 }
 
-void Worker::obey(const std::vector<Order>& orders, std::uint64_t answer_token) {
-    if (answer_token < token) return;
-    token = answer_token;
-    for (const auto& o : orders) {
+void Worker::obey(const std::vector<Command>& commands, std::uint64_t answer_token) {
+    if (answer_token < fencing_token) return;
+    fencing_token = answer_token;
+    for (const auto& o : commands) {
         auto* t = find(o.id.uid, o.id.index);
-        if (o.verb == Verb::run && !t) {
-            wire::TaskReport fresh;
+        if (o.type == CommandType::run && !t) {
+            model::TaskReport fresh;
             fresh.id = o.id;
             fresh.attempt = o.attempt;
             fresh.status = TaskStatus::fetching;
             tasks.push_back(fresh);
-        } else if (o.verb == Verb::kill && t && t->attempt == o.attempt && t->status != TaskStatus::exited) {
+        } else if (o.type == CommandType::kill && t && t->attempt == o.attempt && t->status != TaskStatus::exited) {
             t->status = TaskStatus::exited;
-            t->cause = wire::Cause::stopped;
-        } else if (o.verb == Verb::clear && t && t->attempt == o.attempt && t->status == TaskStatus::exited) {
+            t->exit_reason = model::ExitReason::stopped;
+        } else if (o.type == CommandType::clear && t && t->attempt == o.attempt && t->status == TaskStatus::exited) {
             std::erase_if(tasks, [&](const auto& e) { return e.id.uid == o.id.uid && e.id.index == o.id.index; });
         }
     }
 }
 
-void Worker::finish(const std::string& uid, std::uint32_t index, wire::Cause cause) {
+void Worker::finish(const std::string& uid, std::uint32_t index, model::ExitReason exit_reason) {
     auto* t = find(uid, index);
     ASSERT_NE(t, nullptr);
     t->status = TaskStatus::exited;
-    t->cause = cause;
+    t->exit_reason = exit_reason;
 }
 
 void Worker::run_all() {
@@ -170,56 +175,57 @@
 
 void Worker::lose_lease() {
     tasks.clear();
-    ++tenure;
+    ++incarnation;
 }
 
-Scheduler& World::elect() {
+Scheduler& SchedulerHarness::elect() {
     const auto old = keys.get(election::term_key);
     state::Txn txn;
-    txn.conditions.push_back({election::term_key, old.stamp});
+    txn.conditions.push_back({election::term_key, old.mod_revision});
     txn.changes.push_back({election::term_key, boost::json::object{{"n", ++term}}, 0});
     const auto won = keys.commit(txn);
-    leader = std::make_unique<Scheduler>(settings, tunables, form, term, won.revision, now);
+    leader = std::make_unique<Scheduler>(settings, tunables, record_format, term, won.revision, now);
     leader->catalog(types());
     leader->load(keys.range(scheduler::work_prefix), now);
     for (const auto& uid : leader->open_jobs())
-        if (keys.get(scheduler::outcome_key(uid)).stamp) leader->ended(uid, now);
+        if (keys.get(scheduler::outcome_key(uid)).mod_revision) leader->ended(uid, now);
     return *leader;
 }
 
-void World::accept(const wire::JobSpec& spec) {
+void SchedulerHarness::accept(const model::JobSpec& spec) {
     state::Txn txn;
     txn.conditions.push_back({scheduler::outcome_key(spec.uid), 0});
     txn.conditions.push_back({scheduler::work_key(spec.uid, 0), 0});
-    txn.changes = scheduler::accepted_records(spec, form);
+    txn.changes = scheduler::accepted_records(spec, record_format);
     ASSERT_EQ(keys.commit(txn).outcome, state::Outcome::ok);
     if (leader) tell(spec.uid);
 }
 
-bool World::cancel(const std::string& uid) {
+bool SchedulerHarness::cancel(const std::string& uid) {
     const auto* job = leader->job(uid);
-    const auto spec = job ? job->spec : wire::JobSpec{};
+    const auto spec = job ? job->spec : model::JobSpec{};
     const auto kept = wire::spec_to_record(spec);
-    const auto outcome = scheduler::outcome_record(form, wire::JobState::cancelled, 0, &kept, {spec.shape, spec.tasks});
+    const auto outcome =
+        scheduler::outcome_record(record_format, model::JobState::cancelled, 0, &kept, {spec.kind, spec.tasks});
     state::Txn txn;
     txn.conditions.push_back({scheduler::outcome_key(uid), 0});
     txn.changes.push_back({scheduler::outcome_key(uid), outcome, 0});
     return keys.commit(txn).outcome == state::Outcome::ok;
 }
 
-void World::tell(const std::string& uid) {
+void SchedulerHarness::tell(const std::string& uid) {
     for (const auto& key : {scheduler::work_key(uid, 0), scheduler::outcome_key(uid)})
         leader->job_changed(keys.get(key), now);
 }
 
-std::vector<Order> World::beat(Worker& w, bool answer_arrives) {
-    auto orders = leader->report(w.report(), now);
-    EXPECT_TRUE(orders.has_value());
-    if (orders && answer_arrives) w.obey(*orders, term);
-    return orders.value_or(std::vector<Order>{});
+std::vector<Command> SchedulerHarness::heartbeat(Worker& w, bool answer_arrives) {
+    auto commands = leader->report(w.report(), now);
+    EXPECT_TRUE(commands.has_value());
+    if (commands && answer_arrives) w.obey(*commands, term);
+    return commands.value_or(std::vector<Command>{});
 }
 
-bool World::commit_one() {
+bool SchedulerHarness::commit_one() {
     const auto batch = leader->next_batch(1000, wall_ms);
     if (batch.empty()) return false;
     const auto r = keys.commit(batch.txn);
@@ -238,53 +244,54 @@
     return true;
 }
 
-void World::commit() {
+void SchedulerHarness::commit() {
     while (commit_one()) {
     }
     for (auto rest = leader->leftovers(1000); !rest.changes.empty(); rest = leader->leftovers(1000))
         EXPECT_NE(keys.commit(rest).outcome, state::Outcome::too_large);
 }
 
-void World::read_missing() {
+void SchedulerHarness::read_missing() {
     for (const auto& key : leader->missing()) leader->job_changed(keys.get(key), now);
 }
 
-void World::lower_limits(std::size_t value_bytes, std::size_t txn_ops) {
+void SchedulerHarness::lower_limits(std::size_t value_bytes, std::size_t txn_ops) {
     auto next = settings;
     next.next_limits = settings.limits;
     next.next_limits->value_bytes = keys.value_bytes = value_bytes;
     next.next_limits->txn_ops = keys.txn_ops = txn_ops;
-    form = state::Form(next);
-    form.all_read(state::newest_format);
+    record_format = state::RecordFormat(next);
+    record_format.all_read(state::newest_format);
 }
 
-bool World::place() {
+bool SchedulerHarness::place() {
     const bool any = leader->place(now);
     commit();
     return any;
 }
 
-std::vector<std::string> World::returns() const {
+std::vector<std::string> SchedulerHarness::returns() const {
     std::vector<std::string> out;
     for (const auto& r : leader->release(now)) out.push_back(r.machine);
     return out;
 }
 
-std::string World::state_of(const std::string& uid) const {
+std::string SchedulerHarness::state_of(const std::string& uid) const {
     const auto item = keys.get(scheduler::outcome_key(uid));
-    if (item.stamp) return std::string(item.value.as_object().at("state").as_string());
-    return keys.get(scheduler::work_key(uid, 0)).stamp ? "open" : "absent";
+    if (item.mod_revision) return std::string(item.value.as_object().at("state").as_string());
+    return keys.get(scheduler::work_key(uid, 0)).mod_revision ? "open" : "absent";
 }
 
-std::string World::machine_of(const std::string& uid, std::uint32_t task) const {
+std::string SchedulerHarness::machine_of(const std::string& uid, std::uint32_t task) const {
     const auto* j = leader->job(uid);
     if (!j || j->tasks[task].state != scheduler::Task::State::placed) return "";
     return j->tasks[task].machine->name;
 }
 
-bool World::ordered(const std::vector<Order>& orders, Verb verb, const std::string& uid, std::uint32_t task) const {
-    for (const auto& o : orders)
-        if (o.verb == verb && o.id.uid == uid && o.id.index == task) return true;
+bool SchedulerHarness::ordered(const std::vector<Command>& commands, CommandType type, const std::string& uid,
+                               std::uint32_t task) const {
+    for (const auto& o : commands)
+        if (o.type == type && o.id.uid == uid && o.id.index == task) return true;
     return false;
 }
 
--- a/tests/world.hpp
+++ b/tests/support/scheduler_harness.hpp
@@ -6,21 +6,27 @@
 #include <map>
 
 #include "election/elector.hpp"
+#include "model/clock.hpp"
+#include "model/command.hpp"
+#include "model/heartbeat.hpp"
+#include "model/job.hpp"
+#include "model/machine.hpp"
+#include "model/task.hpp"
 #include "scheduler/scheduler.hpp"
 
 namespace flintdale::test {
 
 using namespace std::chrono_literals;
+using model::Command;
+using model::CommandType;
+using model::Seconds;
+using model::TaskStatus;
+using model::TimePoint;
 using scheduler::Scheduler;
-using wire::Order;
-using wire::Seconds;
-using wire::TaskStatus;
-using wire::TimePoint;
-using wire::Verb;
 
 config::Settings settings();
-wire::JobSpec job(const std::string& uid, wire::Shape shape, std::uint32_t tasks);
-std::vector<wire::MachineType> types();
+model::JobSpec job(const std::string& uid, model::JobKind kind, std::uint32_t tasks);
+std::vector<model::MachineType> types();
 
 // The state service's keys.
 class Keys {
@@ -28,12 +34,12 @@
     // What a value and a transaction may hold; more is refused for good.
     std::size_t value_bytes = 64 * 1024, txn_ops = 1000;
     state::TxnResult commit(const state::Txn& txn);
-    state::Item get(const std::string& key) const;
-    std::vector<state::Item> range(const std::string& prefix) const;
+    state::KeyValue get(const std::string& key) const;
+    std::vector<state::KeyValue> range(const std::string& prefix) const;
     std::uint64_t revision() const { return revision_; }
 
   private:
-    std::map<std::string, state::Item> items_;
+    std::map<std::string, state::KeyValue> items_;
     std::uint64_t revision_ = 0;
 };
 
@@ -41,23 +47,23 @@
 struct Worker {
     std::string name = "n-000001", type = "small", zone = "a";
     bool spot = false;
-    std::uint64_t tenure = 1, tick = 0, token = 0;
-    std::optional<Seconds> notice;
-    std::vector<wire::TaskReport> tasks;
+    std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
+    std::optional<Seconds> termination_notice;
+    std::vector<model::TaskReport> tasks;
 
-    wire::WorkerReport report();
+    model::Heartbeat report();
     // Carries out the orders of an answer with that token.
-    void obey(const std::vector<Order>& orders, std::uint64_t answer_token);
-    wire::TaskReport* find(const std::string& uid, std::uint32_t index);
-    void finish(const std::string& uid, std::uint32_t index, wire::Cause cause);
+    void obey(const std::vector<Command>& commands, std::uint64_t answer_token);
+    model::TaskReport* find(const std::string& uid, std::uint32_t index);
+    void finish(const std::string& uid, std::uint32_t index, model::ExitReason exit_reason);
     void run_all();
     void lose_lease();
 };
 
-struct World {
+struct SchedulerHarness {
     config::Settings settings = test::settings();
     config::Tunables tunables;
-    state::Form form{settings};
+    state::RecordFormat record_format{settings};
     Keys keys;
     TimePoint now{1000s};
     std::uint64_t term = 0;
@@ -66,23 +72,24 @@
 
     // A new leader: raises the term, loads what is on record, and hears nothing yet.
     Scheduler& elect();
-    void accept(const wire::JobSpec& spec);  // as any controller does, and the leader learns of it
-    bool cancel(const std::string& uid);     // likewise; false if it was too late
-    void tell(const std::string& uid);       // the leader learns what is on record of the job
+    void accept(const model::JobSpec& spec);  // as any controller does, and the leader learns of it
+    bool cancel(const std::string& uid);      // likewise; false if it was too late
+    void tell(const std::string& uid);        // the leader learns what is on record of the job
     // One report and its answer; the orders are carried out unless the answer is lost.
-    std::vector<Order> beat(Worker& w, bool answer_arrives = true);
+    std::vector<Command> heartbeat(Worker& w, bool answer_arrives = true);
     void commit();                                                    // everything the leader wants on record
     bool commit_one();                                                // one transaction of it; false if there is none
     void read_missing();                                              // what the leader asks to be read
     void lower_limits(std::size_t value_bytes, std::size_t txn_ops);  // as all controllers know the newest format
     bool place();                                                     // place, and put it on record
     std::vector<std::string> returns() const;                         // the machines that the leader wants returned now
-    void pass(Seconds s) { now += wire::to_clock(s); }
+    void pass(Seconds s) { now += model::to_clock(s); }
     // Far enough that windows have closed and a new leader has heard its round of reports.
     void settle() { pass(Seconds(10)); }
     std::string state_of(const std::string& uid) const;
     std::string machine_of(const std::string& uid, std::uint32_t task) const;
-    bool ordered(const std::vector<Order>& orders, Verb verb, const std::string& uid, std::uint32_t task) const;
+    bool ordered(const std::vector<Command>& commands, CommandType type, const std::string& uid,
+                 std::uint32_t task) const;
 };
 
 }  // namespace flintdale::test
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,6 +1,8 @@
 #include <gtest/gtest.h>
 
-#include "peer/link.hpp"
+#include "model/job.hpp"
+#include "model/task.hpp"
+#include "peer/peer_connections.hpp"
 #include "scheduler/job.hpp"
 #include "wire/json.hpp"
 
@@ -24,7 +26,7 @@
 std::string complaint(const std::string& body) {
     try {
         wire::parse_submission(wire::parse_object(body));
-    } catch (const wire::BadBody& e) {
+    } catch (const wire::DecodeError& e) {
         return e.what();
     }
     return "";
@@ -42,7 +44,7 @@
     EXPECT_EQ(again.need.memory_gb, 64.0);
     EXPECT_EQ(again.types, s.types);
     EXPECT_EQ(again.deadline, s.deadline);
-    EXPECT_EQ(again.shape, wire::Shape::gang);
+    EXPECT_EQ(again.kind, model::JobKind::gang);
 }
 
 TEST(Wire, malformed_submissions_are_named_by_field_and_reason) {
@@ -118,16 +120,16 @@
 }
 
 TEST(Wire, a_report_is_read_and_an_unknown_cause_counts_as_a_failure) {
-    const auto r = wire::parse_report(
+    const auto r = wire::parse_heartbeat(
         R"({"host":"n-1","endpoint":"10.1.0.1:9000","hosttype":"g8","hall":"a","loaners":true,"tenure":1,"tick":88,)"
         R"("baton":41,"warning_s":null,"shards":[{"shard":"run-1/3","try":2,"status":"running"},)"
         R"({"shard":"run-2/0","try":1,"status":"ended","cause":"struck by lightning"}]})");
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].id.index, 3u);
-    EXPECT_EQ(r.tasks[1].cause, wire::Cause::error);
-    EXPECT_FALSE(r.notice);
-    EXPECT_THROW(wire::parse_report(R"({"host":"n-1"})"), wire::BadBody);
-    EXPECT_THROW(wire::parse_report("{}"), wire::BadBody);
+    EXPECT_EQ(r.tasks[1].exit_reason, model::ExitReason::error);
+    EXPECT_FALSE(r.termination_notice);
+    EXPECT_THROW(wire::parse_heartbeat(R"({"host":"n-1"})"), wire::DecodeError);
+    EXPECT_THROW(wire::parse_heartbeat("{}"), wire::DecodeError);
 }
 
 TEST(Wire, machine_types_survive_being_kept) {
@@ -161,7 +163,7 @@
 }
 
 TEST(Wire, peers_understand_each_other_and_refuse_nonsense) {
-    peer::Beat b;
+    peer::StatusMessage b;
     b.member = "one";
     b.leader = "two";
     b.term = 7;
