--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -365,12 +365,12 @@
         alone = false;
         if (peer.state_ok) redirects += peer.redirects;
     }
-    spdlog::debug("event=hears_few expected={} heard={} redirects={:.0f}", heartbeat_coverage.expected,
+    spdlog::debug("event=few_heartbeats expected={} heard={} redirected={:.0f}", heartbeat_coverage.expected,
                   heartbeat_coverage.heard, redirects);
     if (!alone && redirects < static_cast<double>(heartbeat_coverage.heard) +
                                   static_cast<double>(heartbeat_coverage.expected) / 4)
         return;
-    spdlog::info("event=deaf expected={} heard={} redirects={:.0f}", heartbeat_coverage.expected,
+    spdlog::info("event=cut_off_from_workers expected={} heard={} redirected={:.0f}", heartbeat_coverage.expected,
                  heartbeat_coverage.heard, redirects);
     elector_.resign("workers reach the others and not this one");
 }
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -93,7 +93,7 @@
 model::TimePoint LeaderTerm::awake() {
     const auto now = Clock::now();
     if (const auto gap = now - last_awake_; gap > stall) {
-        spdlog::info("event=stood_still seconds={:.1f}", Seconds(gap).count());
+        spdlog::info("event=process_paused seconds={:.1f}", Seconds(gap).count());
         scheduler_.process_paused(gap);
         callbacks_.doubt();
     }
@@ -197,7 +197,7 @@
     followed_ = work->revision;
     fresh_ = began;
     if (!loaded_) loaded_at_ = Clock::now();
-    if (!loaded_) spdlog::info("event=loaded term={} records={}", term_, work->items.size());
+    if (!loaded_) spdlog::info("event=term_loaded term={} records={}", term_, work->items.size());
     loaded_ = true;
     stir_ = true;
     commit_.notify();
@@ -329,7 +329,7 @@
             }
             if (result.outcome == Outcome::conflict &&
                 std::find(result.failed.begin(), result.failed.end(), election::term_key) != result.failed.end()) {
-                spdlog::info("event=term_overtaken term={}", term_);
+                spdlog::info("event=term_superseded term={}", term_);
                 callbacks_.doubt();
                 scheduler_.retry(batch);
                 co_await net::sleep_for(200ms);
@@ -529,7 +529,7 @@
         const auto now = Clock::now();
         const auto got = static_cast<int>(result.machines.size());
         if (result.outcome == cloud::Rent::granted) {
-            spdlog::info("event=rented request={} type={} zone={} spot={} asked={} got={}", rental.name, pool.type,
+            spdlog::info("event=machines_launched request={} type={} zone={} spot={} asked={} got={}", rental.name, pool.type,
                          pool.zone, pool.spot, rental.order.count, got);
             scheduler_.rented(pool, result.machines, now);
         } else if (result.outcome == cloud::Rent::unclear) {
@@ -537,7 +537,7 @@
             if (rental.tries < max_tries) unclear_.push_back(std::move(rental));
             continue;
         } else {
-            spdlog::info("event=rent_refused type={} zone={} spot={}", pool.type, pool.zone, pool.spot);
+            spdlog::info("event=launch_refused type={} zone={} spot={}", pool.type, pool.zone, pool.spot);
         }
         if (got < rental.order.count) {
             scheduler_.rent_refused(pool, now);
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -48,7 +48,7 @@
     if (!leading_) return;
     leading_ = false;
     leader_.clear();
-    spdlog::info("event=deposed term={} why=\"{}\"", own_term_, why);
+    spdlog::info("event=stepped_down term={} why=\"{}\"", own_term_, why);
     events_.deposed();
     wake_.notify();
 }
@@ -134,7 +134,7 @@
             mod_revision = again.item.mod_revision;
     }
     if (!mod_revision) {
-        spdlog::info("event=campaign_lost term={} outcome={}", own_term_, static_cast<int>(result.outcome));
+        spdlog::info("event=election_lost term={} outcome={}", own_term_, static_cast<int>(result.outcome));
         co_await store_.revoke(lease_);
         co_return false;
     }
@@ -142,7 +142,7 @@
     if (seen_term_ > own_term_) co_return false;
     leading_ = true;
     leader_ = member_;
-    spdlog::info("event=elected term={} stamp={}", own_term_, mod_revision);
+    spdlog::info("event=elected term={} mod_revision={}", own_term_, mod_revision);
     Term won;
     won.number = own_term_;
     won.mod_revision = mod_revision;
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -96,7 +96,7 @@
                                      [&](const auto& item) { return item.key == members_prefix + name; });
         common = std::min(common, it == page.items.end() ? state::oldest_format : format_in(*it));
     }
-    spdlog::info("event=members enrolled={} of={} format={}", page.items.size(), names_.size(), common);
+    spdlog::info("event=members_enrolled enrolled={} of={} format={}", page.items.size(), names_.size(), common);
     // Without all their names there is no telling that all are there.
     if (names_.size() < nodes_ || common < state::newest_format) co_return false;
     record_format_.all_read(common);
@@ -113,7 +113,7 @@
                 if (const auto theirs = teams_in(item)) table = quota::strictest(table, *theirs);
     if (table == teams_) return;
     teams_ = std::move(table);
-    spdlog::info("event=teams_changed differs={}", teams_ != own_teams_);
+    spdlog::info("event=quota_table_changed differs={}", teams_ != own_teams_);
     if (teams_changed_) teams_changed_(teams_);
 }
 
@@ -128,7 +128,7 @@
         revision_ = 0;
         const bool there = co_await all_there();
         if (there && !std::exchange(in_use, true))
-            spdlog::info("event=format_in_use format={}", record_format_.format());
+            spdlog::info("event=record_format_in_use format={}", record_format_.format());
         // Later it is the figures of teams that may change.
         while (revision_) {
             const auto seen = co_await store_.watch(members_prefix, revision_, 10s);
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -224,7 +224,7 @@
         try {
             received(static_cast<Frame>(head[3]), body, connection);
         } catch (const std::exception& e) {
-            spdlog::error("event=peer_nonsense why=\"{}\"", e.what());
+            spdlog::error("event=peer_message_invalid why=\"{}\"", e.what());
             break;
         }
         auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&receipt, 1), net::quietly);
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -126,7 +126,7 @@
     records_only_ = records_only_ && loss == Loss::records;
     guarded_.close();
     if (!doubt_) {
-        spdlog::error("event=loss_suspected why=\"{}\"", why);
+        spdlog::error("event=data_loss_suspected why=\"{}\"", why);
         doubt_ = std::move(why);
     }
     wake_.notify();
@@ -145,7 +145,7 @@
 
 void RecoveryCoordinator::missed(const std::string& key) {
     if (rebuilding_ || suspects_.size() >= most_suspects) return;
-    if (suspects_.insert(key).second) spdlog::info("event=record_missed key={}", key);
+    if (suspects_.insert(key).second) spdlog::info("event=record_missing key={}", key);
     wake_.notify();
 }
 
@@ -178,7 +178,7 @@
 awaitable<void> RecoveryCoordinator::run() {
     if (const auto kept = snapshot_file_.newest()) {
         replica_.recall(*kept);
-        spdlog::info("event=snapshot_read records={} generation={} revision={}", kept->records.size(), kept->generation,
+        spdlog::info("event=snapshot_loaded records={} generation={} revision={}", kept->records.size(), kept->generation,
                      kept->revision);
     }
     for (;;) {
@@ -259,7 +259,7 @@
     w.id = settings_.member + "-" + std::to_string(callbacks_.time_of_day_ms());
     const auto mod_revision = co_await put(w);
     if (mod_revision)
-        spdlog::info("event=marker_made id={}", w.id);
+        spdlog::info("event=generation_marker_created id={}", w.id);
     else
         co_await wake_.wait(try_again);
 }
@@ -304,7 +304,7 @@
     const auto mod_revision = co_await put(w);
     if (mod_revision) forget_doubt();
     if (mod_revision)
-        spdlog::error("event=loss_declared generation={} why=\"{}\" over={} remembers={} revision={}", w.generation,
+        spdlog::error("event=data_loss_declared generation={} why=\"{}\" over={} remembers={} revision={}", w.generation,
                       why, over, replica_.size(), replica_.revision());
     else
         co_await wake_.wait(try_again);
@@ -333,7 +333,7 @@
         if (known_ || rebuilding_) {
             // It may not have noticed while they were not.
             const bool noticed = rebuild_began_ != model::TimePoint{};
-            spdlog::info("event=records_whole generation={} seconds={:.1f}", w.generation,
+            spdlog::info("event=records_recovered generation={} seconds={:.1f}", w.generation,
                          noticed ? model::Seconds(Clock::now() - rebuild_began_).count() : 0.0);
             callbacks_.rebuilt();
         }
@@ -484,7 +484,7 @@
         if (is_outcome(e.key) && replica_.outcome_of(uid_of(e.key)))
             digested_ = 0;  // one that was put back has a new stamp
     for (const auto& key : replica_.told(seen)) {
-        spdlog::error("event=removed_by_nobody key={}", key);
+        spdlog::error("event=unexpected_record_removal key={}", key);
         missed(key);
     }
     // Any of them may have placed something by these records, but for those that rebuilt them.
@@ -516,7 +516,7 @@
         }
         fill_at_.reset();
         replica_.filled();
-        spdlog::info("event=remembers records={} generation={} revision={}", replica_.size(), replica_.generation(),
+        spdlog::info("event=replica_loaded records={} generation={} revision={}", replica_.size(), replica_.generation(),
                      replica_.revision());
     }
 }
@@ -563,7 +563,7 @@
     txn.changes.push_back({digest_key, std::move(value), 0});
     const auto r = co_await raw_.commit(std::move(txn), RequestPriority::bookkeeping);
     if (r.outcome == Outcome::ok) digested_ = digest.outcomes + jobs;
-    spdlog::debug("event=digest outcomes={} revision={} outcome={}", digest.outcomes, revision,
+    spdlog::debug("event=outcome_digest_written outcomes={} revision={} outcome={}", digest.outcomes, revision,
                   static_cast<int>(r.outcome));
 }
 
@@ -599,7 +599,7 @@
         all = all && (r.outcome == Outcome::ok || r.outcome == Outcome::conflict || r.outcome == Outcome::too_large);
         if (doubt_) co_return false;
     }
-    if (added || lost) spdlog::info("event=remembered_late added={} lost={} all={}", added, lost, all);
+    if (added || lost) spdlog::info("event=late_records_restored added={} lost={} all={}", added, lost, all);
     co_return all;
 }
 
@@ -654,7 +654,7 @@
     txn.changes.push_back({page->first, std::nullopt, 0});
     const auto r = co_await raw_.commit(std::move(txn), RequestPriority::bookkeeping);
     if (r.outcome == Outcome::ok) owed_.erase(owed_.begin());
-    if (owed_.empty()) spdlog::info("event=outcomes_back generation={}", marker.generation);
+    if (owed_.empty()) spdlog::info("event=deferred_outcomes_restored generation={}", marker.generation);
 }
 
 // Whether what is neither on record nor remembered never was. Somebody who was not heard when the records were rebuilt
@@ -721,7 +721,7 @@
         return now == 0 || now > f.revision || (now <= f.there && !f.damaged);
     });
     for (const auto& f : gone)
-        spdlog::error("event=record_gone key={} remembers={} there={} revision={} followed={}", f.key,
+        spdlog::error("event=record_lost key={} remembers={} there={} revision={} followed={}", f.key,
                       replica_.expected(f.key), f.there, f.revision, replica_.revision());
     if (gone.size() > most_put_back)
         doubt(std::to_string(gone.size()) + " records are gone that are remembered, the first of them " + gone[0].key,
@@ -764,7 +764,7 @@
         if (r.outcome == Outcome::ok) {
             replica_.written(change, r.revision);
             digested_ = 0;
-            spdlog::error("event=record_put_back key={} revision={}", f.key, r.revision);
+            spdlog::error("event=record_restored key={} revision={}", f.key, r.revision);
         } else {
             suspects_.insert(std::move(f.key));  // somebody else's may be there, or this write, or it was refused
         }
@@ -867,7 +867,7 @@
             {"generation", source.generation}, {"id", source.id},     {"revision", source.revision},
             {"whole", source.whole},           {"pages", all.size()}, {"at", prefix}};
         sources.push_back(std::move(entry));
-        spdlog::info("event=offered records={} pages={} revision={}", source.records.size(), all.size(),
+        spdlog::info("event=replica_offered records={} pages={} revision={}", source.records.size(), all.size(),
                      source.revision);
     }
     state::Txn txn;
@@ -902,7 +902,7 @@
             for (auto& r : wire::decode_archive_text(std::string_view(page->second->value.as_string())))
                 s.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
         } catch (const std::exception& e) {
-            spdlog::error("event=offer_unreadable member={} page={} why=\"{}\"", member, n, e.what());
+            spdlog::error("event=replica_offer_unreadable member={} page={} why=\"{}\"", member, n, e.what());
             s.whole = false;
         }
     }
@@ -953,7 +953,7 @@
     for (;;) {
         const bool last_call = Clock::now() >= until;
         const auto items = co_await read_all(offers_prefix);
-        spdlog::debug("event=offers keys={}", items ? items->size() : 0);
+        spdlog::debug("event=replica_offers_listed keys={}", items ? items->size() : 0);
         if (!term_) co_return std::nullopt;
         if (items)
             if (auto all = read_offers(w, *items, last_call)) co_return all;
@@ -1007,7 +1007,7 @@
         co_return;
     }
     w.mod_revision = first;
-    spdlog::info("event=rebuilding generation={} term={} remembers={} revision={}", w.generation, term, replica_.size(),
+    spdlog::info("event=recovery_started generation={} term={} remembers={} revision={}", w.generation, term, replica_.size(),
                  replica_.revision());
     const bool put_down = co_await offer(w);
     if (!put_down || !still()) co_return;
@@ -1018,11 +1018,11 @@
     auto there = co_await present();
     if (!there || !still()) co_return;
     for (const auto& s : gathered->sources)
-        spdlog::debug("event=source from={} generation={} revision={} whole={} records={}", s.from, s.generation,
+        spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", s.from, s.generation,
                       s.revision, s.whole, s.records.size());
-    for (const auto& member : gathered->missing) spdlog::error("event=offer_missing member={}", member);
+    for (const auto& member : gathered->missing) spdlog::error("event=replica_offer_missing member={}", member);
     const auto merged = merge(gathered->sources, there->source);
-    for (const auto& doubt : merged.doubts) spdlog::error("event=record_lost what=\"{}\"", doubt);
+    for (const auto& doubt : merged.doubts) spdlog::error("event=record_unrecoverable what=\"{}\"", doubt);
     // Nobody can cancel anything before the records are whole again, so if all have told, all cancellations are known.
     std::vector<KeyValue> outcomes;
     for (const auto& [key, text] : merged.records)
@@ -1056,7 +1056,7 @@
         if (!merged.records.contains(scheduler::outcome_key(uid)) &&
             !merged.records.contains(scheduler::work_key(uid, 0))) {
             ++missed;
-            spdlog::error("event=job_lost job={} why=\"a worker shows it, and nobody remembers it\"", uid);
+            spdlog::error("event=job_unrecoverable job={} why=\"a worker shows it, and nobody remembers it\"", uid);
         }
     w.phase = GenerationMarker::Phase::whole;
     w.missing = gathered->missing;
@@ -1068,7 +1068,7 @@
     if (w.beyond_memory) with.push_back({unsettled_key, boost::json::object{{"generation", w.generation}}, 0});
     const auto last = co_await put_with(w, std::move(with));
     if (!last) co_return;
-    spdlog::info("event=rebuilt generation={} records={} restored={} sources={} lost={} placements_known={}",
+    spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
                  w.generation, merged.records.size(), restored, gathered->sources.size(), missed + merged.doubts.size(),
                  !w.beyond_memory);
     clear_offers_ = true;
@@ -1098,7 +1098,7 @@
             missing.emplace_back(order, state::Change{key, std::move(value), 0});
     }
     std::stable_sort(missing.begin(), missing.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-    spdlog::info("event=restoring records={} owed={}", missing.size(), owed.records.size());
+    spdlog::info("event=restoring_records records={} owed={}", missing.size(), owed.records.size());
     std::vector<state::Change> changes;
     const auto flush = [&] { return std::exchange(changes, {}); };
     for (std::size_t i = 0; i < missing.size(); ++i) {
--- a/src/scheduler/handover_hints.cpp
+++ b/src/scheduler/handover_hints.cpp
@@ -42,7 +42,7 @@
             auto notes = wire::decode_machine_hints(std::string_view(item.value.as_string()));
             std::move(notes.begin(), notes.end(), std::back_inserter(out));
         } catch (const std::exception& e) {
-            spdlog::info("event=notes_unreadable key={} why=\"{}\"", item.key, e.what());
+            spdlog::info("event=machine_hints_unreadable key={} why=\"{}\"", item.key, e.what());
         }
     }
     return out;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -157,7 +157,7 @@
     ++job.placed;
     if (job.is(JobKind::array)) ++array_tasks_[static_cast<std::size_t>(job.spec.priority)];
     inventory_.assign(m, {job.spec.uid, task}, job.spec, job.priority);
-    spdlog::debug("event=placed task={}/{} class={} attempt={} machine={}", job.spec.uid, task, job.spec.job_class,
+    spdlog::debug("event=task_placed task={}/{} class={} attempt={} machine={}", job.spec.uid, task, job.spec.job_class,
                   attempt, m.name);
     teams_.placed(job.spec.team, job.spec.need);
 }
@@ -260,11 +260,11 @@
         if (now >= job.eligible_at) {
             const auto pause = std::min(first_pause * (1 << std::min(job.failures++, 8u)), longest_pause);
             job.eligible_at = now + pause;
-            spdlog::debug("event=job_doubtful job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
+            spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
                           job.errors, pause.count());
         }
     } else if (m.failed_jobs.size() >= suspect_jobs) {
-        if (!m.quarantined) spdlog::info("event=machine_set_aside machine={} type={}", m.name, m.type);
+        if (!m.quarantined) spdlog::info("event=machine_quarantined machine={} type={}", m.name, m.type);
         m.quarantined = true;
     }
 }
@@ -280,7 +280,7 @@
     }
     ++job.gang_attempt;
     job.parked = 0;
-    spdlog::debug("event=regroup job={} attempt={}", job.spec.uid, job.gang_attempt);
+    spdlog::debug("event=gang_restarted job={} attempt={}", job.spec.uid, job.gang_attempt);
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
         auto& t = job.tasks[i];
         t.attempt = job.gang_attempt;
@@ -299,7 +299,7 @@
         // All have a place: what is missing is an image.
         if (job->placed + job->done == job->spec.tasks) job->parked_since = now;
         if (now - job->parked_since <= model::to_clock(settings_.gang_wait)) return false;
-        spdlog::info("event=gang_unparked job={} parked={} placed={}", uid, job->parked, job->placed);
+        spdlog::info("event=gang_reservation_released job={} parked={} placed={}", uid, job->parked, job->placed);
         for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
             if (job->tasks[i].parked) leave(*job, i, State::waiting, now);
         return true;
@@ -380,7 +380,7 @@
     std::erase(job.again, i);
     for (; job.fresh <= i; ++job.fresh)
         if (job.fresh != i) job.again.push_back(job.fresh);
-    spdlog::info("event=adopted task={}/{} attempt={} machine={}", job.spec.uid, i, r.attempt, m.name);
+    spdlog::info("event=task_adopted task={}/{} attempt={} machine={}", job.spec.uid, i, r.attempt, m.name);
     set_placed(job, i, m, r.attempt, now);
     job.tasks[i].sent = true;
     job.gang_attempt = std::max(job.gang_attempt, r.attempt);
@@ -439,7 +439,7 @@
     if (!m.reported)
         spdlog::debug("event=machine_up machine={} type={} zone={} spot={}", r.machine, r.type, r.zone, r.spot);
     if (m.reported && r.incarnation > m.incarnation) {
-        spdlog::info("event=worker_lease_lost machine={} tasks={} sure={}", m.name, m.tasks.size(), m.current);
+        spdlog::info("event=worker_lease_expired machine={} tasks={} sure={}", m.name, m.tasks.size(), m.current);
         // What was placed before this term may have been started in this very session, if the report before was a copy
         // from an earlier one: it is gone only if the worker had seen this term in that session, when no older leader's
         // run could reach it any more. What this leader sent was sent after that.
@@ -455,7 +455,7 @@
     m.reported_tasks = r.tasks.size();
     if (r.termination_notice) {
         if (!m.terminates_at)
-            spdlog::info("event=spot_notice machine={} seconds={}", m.name, r.termination_notice->count());
+            spdlog::info("event=termination_notice machine={} seconds={}", m.name, r.termination_notice->count());
         m.terminates_at = after(now, *r.termination_notice);
     }
 
--- a/src/scheduler/scheduler_fleet.cpp
+++ b/src/scheduler/scheduler_fleet.cpp
@@ -351,7 +351,7 @@
     for (const auto& [name, why] : machines) {
         auto* m = inventory_.find(name);
         if (!m || m->releasing) continue;
-        spdlog::info("event=machine_release machine={} type={} spot={} tasks={} why={}", name, m->type, m->spot,
+        spdlog::info("event=machine_scale_in machine={} type={} spot={} tasks={} why={}", name, m->type, m->spot,
                      m->tasks.size(), why);
         m->releasing = true;
     }
--- a/src/scheduler/scheduler_moves.cpp
+++ b/src/scheduler/scheduler_moves.cpp
@@ -31,7 +31,7 @@
 }
 
 void Scheduler::start_move(const Job& job, std::uint32_t task, placement::Id to, TimePoint now) {
-    spdlog::debug("event=move task={}/{} from={} to={}", job.spec.uid, task, job.tasks[task].machine->name,
+    spdlog::debug("event=task_relocation_started task={}/{} from={} to={}", job.spec.uid, task, job.tasks[task].machine->name,
                   inventory_.at(to)->name);
     find(job.spec.uid)->tasks[task].draining = true;
     moves_.push_back({job.spec.uid, to, task, after(now, settings_.report * 4)});
@@ -131,7 +131,7 @@
         auto* m = sparsest(plan, now);
         if (!m) return;
         const auto to = rehouse(*m, plan);
-        spdlog::info("event=consolidate machine={} type={} tasks={}", m->name, m->type, m->tasks.size());
+        spdlog::info("event=machine_draining_for_defragmentation machine={} type={} tasks={}", m->name, m->type, m->tasks.size());
         m->retiring = true;
         plan.remove(m->row.slot);
         std::size_t next = 0;
@@ -200,7 +200,7 @@
     auto most = machines / 50 + 1;
     for (const auto& c : choices) {
         if (most-- == 0 || spare - c.waste <= wanted * (total - c.price)) break;
-        spdlog::debug("event=cordon machine={} type={} tasks={}", c.machine->name, c.machine->type,
+        spdlog::debug("event=machine_cordoned machine={} type={} tasks={}", c.machine->name, c.machine->type,
                       c.machine->tasks.size());
         c.machine->cordoned = true;
         spare -= c.waste;
--- a/src/scheduler/scheduler_place.cpp
+++ b/src/scheduler/scheduler_place.cpp
@@ -283,7 +283,7 @@
             amount.gpus += other.spec.need.gpus;
         }
         auto& t = find(uid)->tasks[i];
-        spdlog::info("event=preempt task={}/{} machine={} for={}", uid, i, t.machine->name, job.spec.uid);
+        spdlog::info("event=task_preempted task={}/{} machine={} for={}", uid, i, t.machine->name, job.spec.uid);
         t.draining = true;
     }
 }
@@ -385,7 +385,7 @@
 bool Scheduler::place(TimePoint now) {
     mark_due(now);
     if (unsettled_ && all_heard()) {
-        spdlog::info("event=settled term={} seconds={:.1f}", term_, Seconds(now - since_).count());
+        spdlog::info("event=reconciliation_complete term={} seconds={:.1f}", term_, Seconds(now - since_).count());
         unsettled_ = false;
     }
     if (!round_heard(now)) return false;
--- a/src/scheduler/scheduler_records.cpp
+++ b/src/scheduler/scheduler_records.cpp
@@ -221,12 +221,12 @@
         job->waits = false;
         job->arrived = job->eligible_at = now;
         if (const auto at = dependency_graph_.ready_at(uid)) job->window = window_at(at);
-        spdlog::debug("event=job_ready job={} class={}", uid, job->spec.job_class);
+        spdlog::debug("event=job_dependencies_done job={} class={}", uid, job->spec.job_class);
     }
     // Before all other records: its users may be told by then.
     for (const auto& uid : news.doomed)
         if (auto* job = find(uid); job && !job->doomed) {
-            spdlog::info("event=job_doomed job={}", uid);
+            spdlog::info("event=job_dependency_failed job={}", uid);
             job->doomed = true;
             mark_urgent(uid);
         }
@@ -263,7 +263,7 @@
         auto record = work_record(job, c);
         if (record_format_.newest() && job.page > 1 && !record_format_.fits(record)) {
             job.use_pages(job.page / 2);
-            spdlog::debug("event=smaller_records job={} tasks={}", job.spec.uid, job.page);
+            spdlog::debug("event=records_split job={} tasks={}", job.spec.uid, job.page);
             return changed_records(job);
         }
         out.emplace_back(c, std::move(record));
--- a/src/simulator/simulation.cpp
+++ b/src/simulator/simulation.cpp
@@ -489,7 +489,7 @@
 void Simulation::trouble(const Fault& t) {
     outcome_.troubles.push_back(fmt::format("{:.1f} {} {}{}{} {:.1f}", t.at.count(), t.kind, t.node, t.zone, t.prefix,
                                             t.kind == "set_back" ? t.seconds : t.lasts.count()));
-    spdlog::info("event=trouble at={:.1f} kind={}", events_.since_start().count(), t.kind);
+    spdlog::info("event=fault_injected at={:.1f} kind={}", events_.since_start().count(), t.kind);
     if (t.kind == "refused" || t.kind == "cut_state" || t.kind == "isolate")
         for (const auto n : nodes_of(t))
             if (!alone_ && nodes_[n]->process && nodes_[n]->process->controller.leading()) {
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -175,7 +175,7 @@
         r.outcome =
             lease || answer.body.find("no such lease") != std::string::npos ? Outcome::no_lease : Outcome::too_large;
         if (r.outcome == Outcome::too_large) {
-            spdlog::info("event=txn_rejected changes={} conditions={} body={}", txn.changes.size(),
+            spdlog::info("event=transaction_rejected changes={} conditions={} body={}", txn.changes.size(),
                          txn.conditions.size(), answer.body);
             if (record_format_.refused(largest, txn.changes.size(), txn.conditions.size())) {
                 spdlog::info("event=limits_lowered format={} why=\"a size was refused\"", record_format_.format());
--- a/src/worker/client.cpp
+++ b/src/worker/client.cpp
@@ -29,7 +29,7 @@
     try {
         co_return wire::parse_heartbeat(answer.body);
     } catch (const wire::DecodeError& e) {
-        spdlog::error("event=report_unreadable address={} why=\"{}\"", address, e.what());
+        spdlog::error("event=worker_status_unreadable address={} why=\"{}\"", address, e.what());
     }
     co_return std::nullopt;
 }
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Three controllers; what they say travels by hand.
-struct Three : ::testing::Test {
+struct CancellationExchangeTest : ::testing::Test {
     struct One {
         config::Settings settings;
         std::uint64_t incarnation = 1;
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-TEST_F(Three, what_all_have_said_since_they_were_asked_is_known_without_the_state_service) {
+TEST_F(CancellationExchangeTest, KnowsWithoutTheStoreWhatAllPeersReportedSinceItAsked) {
     talk(3);
     const auto looked = now;
     talk(60);
@@ -68,7 +68,7 @@
 }
 
 // The one before it may have told what nobody else knows.
-TEST_F(Three, a_controller_that_ended_and_is_back_proves_nothing_for_its_former_life) {
+TEST_F(CancellationExchangeTest, RestartedPeerProvesNothingAboutItsPreviousIncarnation) {
     talk(3);
     const auto looked = now;
     talk(2);
@@ -82,7 +82,7 @@
     EXPECT_GT(known(again), again + 15s);
 }
 
-TEST_F(Three, one_that_is_not_heard_leaves_the_last_look_at_the_records) {
+TEST_F(CancellationExchangeTest, UnheardPeerLeavesTheLastRecordsReadAsTheBound) {
     talk(3);
     const auto looked = now;
     for (int i = 0; i < 30; ++i, now += 1s) tell("a", "b"), tell("b", "a"), tell("a", "c");
@@ -90,7 +90,7 @@
 }
 
 // A message may be held for a minute and come when its sender has told more: it answers the question it names.
-TEST_F(Three, a_message_that_was_held_dates_from_the_question_it_answers) {
+TEST_F(CancellationExchangeTest, DelayedMessageDatesFromTheMessageItAnswers) {
     talk(3);
     const auto looked = now;
     talk(5);
@@ -102,14 +102,14 @@
 }
 
 // Answered: b has heard what a said. Nothing that b says without that tells when it was said.
-TEST_F(Three, what_is_said_without_having_heard_the_question_proves_nothing) {
+TEST_F(CancellationExchangeTest, MessageThatHasNotReceivedTheQuestionProvesNothing) {
     talk(3);
     const auto looked = now;
     for (int i = 0; i < 30; ++i, now += 1s) tell("b", "a"), tell("c", "a");
     EXPECT_EQ(known(looked), looked);
 }
 
-TEST_F(Three, answers_to_a_former_life_of_the_asker_are_none) {
+TEST_F(CancellationExchangeTest, AnswersToAPreviousIncarnationOfTheAskerDoNotCount) {
     talk(3);
     const auto to_former = say("b");
     back("a");
@@ -120,7 +120,7 @@
     EXPECT_EQ(known(looked), looked);
 }
 
-TEST_F(Three, a_version_that_does_not_say_proves_nothing) {
+TEST_F(CancellationExchangeTest, VersionThatDoesNotReportProvesNothing) {
     talk(3);
     const auto looked = now;
     for (int i = 0; i < 20; ++i, now += 1s) {
@@ -130,7 +130,7 @@
     EXPECT_LE(known(looked), looked);
 }
 
-TEST_F(Three, a_cancellation_is_named_until_everybody_knows_and_is_passed_on) {
+TEST_F(CancellationExchangeTest, CancellationIsNamedUntilEverybodyKnowsAndIsForwarded) {
     talk(3);
     all["b"].knows->note("run-1", now);
     tell("b", "c");
@@ -143,7 +143,7 @@
 }
 
 // What is too much to name in a message is not named, and then nothing may be concluded.
-TEST_F(Three, who_cannot_name_all_says_so) {
+TEST_F(CancellationExchangeTest, SenderThatCannotNameAllSaysSo) {
     talk(3);
     for (int i = 0; i < 5000; ++i) all["b"].knows->note("run-" + std::to_string(i), now);
     EXPECT_FALSE(say("b").whole);
@@ -153,14 +153,14 @@
 }
 
 // After so long a peer no longer names what it learned first.
-TEST_F(Three, it_does_not_last_for_ever) {
+TEST_F(CancellationExchangeTest, KnowledgeExpires) {
     talk(3);
     const auto looked = now;
     talk(static_cast<int>(Seconds(all["a"].knows->span()).count()) + 5);
     EXPECT_EQ(known(looked), looked);
 }
 
-TEST_F(Three, it_travels_whole) {
+TEST_F(CancellationExchangeTest, ReportSurvivesEncoding) {
     talk(3);
     peer::StatusMessage b;
     b.member = "b";
@@ -178,7 +178,7 @@
 
 // The watch of a leader that is refused, or of everybody in an outage, stands open and tells of a cancellation long
 // after its user was told. A machine that hangs must be given up by the time that counts from then.
-TEST(LateNews, ran_cancelled_a_cancellation_that_is_read_late_counts_from_when_it_was_told) {
+TEST(LateCancellationTest, LateReadCancellationCountsFromWhenUsersWereTold) {
     SchedulerHarness w;
     w.elect();
     w.leader->catalog(types());
@@ -210,7 +210,7 @@
 }
 
 // A peer's word, while the record cannot be read: no order is sent any more, and what runs is killed.
-TEST(LateNews, ran_cancelled_a_peers_word_is_enough_to_stop_a_job) {
+TEST(LateCancellationTest, CancellationReportedByAPeerStopsTheJob) {
     SchedulerHarness w;
     w.elect();
     w.leader->catalog(types());
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -24,7 +24,7 @@
 }
 }  // namespace
 
-TEST(Config, what_is_wrong_is_named) {
+TEST(ConfigTest, NamesTheInvalidSetting) {
     EXPECT_NE(settings_error("member = ").find("file: line 1"), std::string::npos);
     EXPECT_NE(settings_error("").find("member"), std::string::npos);
     EXPECT_NE(settings_error("member=\"m\"\nlocation=\"z\"\nserve_on=\"nowhere\"").find("serve_on"), std::string::npos);
@@ -33,7 +33,7 @@
     EXPECT_EQ(settings().lease, Seconds(18));
 }
 
-TEST(Config, limits_to_come_take_what_they_do_not_name_from_the_present_and_are_checked) {
+TEST(ConfigTest, NextLimitsInheritWhatTheyDoNotNameAndAreChecked) {
     const std::string cluster = R"(
 member = "one"
 location = "a"
@@ -69,7 +69,7 @@
     EXPECT_NE(settings_error(cluster + "next = 3\n").find("cluster.state.next"), std::string::npos);
 }
 
-TEST(Config, operators_settings_are_checked) {
+TEST(ConfigTest, ChecksOperatorSettings) {
     EXPECT_EQ(config::parse_tunables("[placement]\nwindow_s = 2.5\n[groups]\ntrain = g8 g4\n", "f").window,
               Seconds(2.5));
     EXPECT_EQ(config::parse_tunables("[groups]\ntrain = g8 g4\n", "f").groups.at("train").size(), 2u);
@@ -79,7 +79,7 @@
     EXPECT_NE(tunables_error("window_s = 3\n").find("[section]"), std::string::npos);
 }
 
-TEST(TokenBucket, less_urgent_requests_leave_room_for_leadership) {
+TEST(TokenBucketTest, LessUrgentRequestsLeaveRoomForLeadership) {
     using state::RequestPriority;
     const TimePoint start{100s};
     state::TokenBucket b(10, 5, start);
@@ -94,7 +94,7 @@
 
 // What jobs that are over leave on record was removed ahead of what was new, and on a drawn day of Riga's swarm
 // nothing else was written any more.
-TEST(TokenBucket, leftovers_are_removed_only_while_there_is_plenty) {
+TEST(TokenBucketTest, GarbageIsCollectedOnlyWhileTokensArePlentiful) {
     using state::RequestPriority;
     const TimePoint start{100s};
     state::TokenBucket b(100, 10, start);
@@ -104,7 +104,7 @@
 }
 
 // Rates so low that the time a test takes counts for nothing.
-TEST(RequestLimiter, writes_wait_their_turn_and_neither_reads_nor_leadership_wait_behind_them) {
+TEST(RequestLimiterTest, WritesQueueWithoutDelayingReadsOrLeadership) {
     using state::RequestPriority;
     net::asio::io_context io;
     state::RequestLimiter limiter(io.get_executor(), state::TokenBucket(1e6, 1e-3, model::Clock::now()));
@@ -125,7 +125,7 @@
     EXPECT_EQ(limiter.take_demand(), 3.0);  // what still waits is asked for all the same
 }
 
-TEST(TokenBucket, writes_over_a_second_never_pass_the_rate) {
+TEST(TokenBucketTest, WritesLargerThanASecondsShareNeverExceedTheRate) {
     using state::RequestPriority;
     TimePoint t{100s};
     state::TokenBucket b(1000, 10, t);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -16,7 +16,7 @@
 using Names = std::vector<std::string>;
 using Fate = DependencyGraph::Fate;
 
-TEST(DependencyGraph, a_diamond_is_ready_when_both_its_sides_are_done_and_not_before) {
+TEST(DependencyGraphTest, DiamondIsReadyOnlyWhenBothItsSidesAreDone) {
     DependencyGraph p;
     p.opened("top", Priority::normal, {});
     p.opened("left", Priority::normal, {"top"});
@@ -31,7 +31,7 @@
     EXPECT_TRUE(p.over("right", true, 8).empty()) << "the same news again is none";
 }
 
-TEST(DependencyGraph, a_cancelled_job_dooms_all_that_need_it_once_and_the_nearest_first) {
+TEST(DependencyGraphTest, CancelledJobFailsAllDependentsOnceNearestFirst) {
     DependencyGraph p;
     p.opened("top", Priority::normal, {});
     p.opened("left", Priority::normal, {"top"});
@@ -48,7 +48,7 @@
     EXPECT_TRUE(p.over("other", true, 0).ready.empty()) << "what is doomed is never ready";
 }
 
-TEST(DependencyGraph, a_job_has_the_highest_rank_of_all_that_need_it_for_as_long_as_they_do) {
+TEST(DependencyGraphTest, JobInheritsTheHighestPriorityOfItsOpenDependents) {
     DependencyGraph p;
     p.opened("first", Priority::idle, {});
     p.opened("second", Priority::normal, {"first"});
@@ -64,7 +64,7 @@
     EXPECT_EQ(p.priority("first"), Priority::idle);
 }
 
-TEST(DependencyGraph, a_job_may_be_named_before_it_is_known_and_its_end_must_be_read_if_nobody_tells) {
+TEST(DependencyGraphTest, UnknownDependencyMayBeNamedAndItsOutcomeMustBeRead) {
     DependencyGraph p;
     p.opened("second", Priority::high, {"first", "gone"});
     EXPECT_TRUE(p.waits("second"));
@@ -81,7 +81,7 @@
 }
 
 // Any order of any news leads to what a look at all jobs at once would find.
-TEST(DependencyGraph, whatever_happens_the_graph_agrees_with_a_plain_look_at_all_jobs) {
+TEST(DependencyGraphTest, AgreesWithARecountAfterAnySequenceOfEvents) {
     std::mt19937 random(7);
     for (int day = 0; day < 200; ++day) {
         struct Plain {
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-struct ElectionStory : ::testing::Test {
+struct ElectionTest : ::testing::Test {
     net::asio::io_context io;
     FakeStore store;
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_F(ElectionStory, the_first_leads_and_the_second_learns_of_it) {
+TEST_F(ElectionTest, FirstCandidateLeadsAndSecondLearnsOfIt) {
     Node one(io, store, "one");
     settle();
     Node two(io, store, "two");
@@ -41,14 +41,14 @@
     EXPECT_EQ(two.elector.term(), 1u);
 }
 
-TEST_F(ElectionStory, a_lost_answer_to_the_winning_claim_is_found_out) {
+TEST_F(ElectionTest, LostResponseToTheWinningClaimIsDetected) {
     store.lose_answers = 1;
     Node one(io, store, "one");
     settle();
     EXPECT_EQ(one.won, std::vector<std::uint64_t>{1});
 }
 
-TEST_F(ElectionStory, whoever_waits_for_a_vacancy_claims_it_without_reading_anything_again) {
+TEST_F(ElectionTest, WaitingCandidateClaimsAVacancyWithoutReadingAgain) {
     Node one(io, store, "one");
     settle();
     state::WatchResult ended;
@@ -65,7 +65,7 @@
     EXPECT_EQ(store.gets, 2) << "only when it began";
 }
 
-TEST_F(ElectionStory, a_restarted_leader_takes_over_from_its_former_life_under_a_higher_term) {
+TEST_F(ElectionTest, RestartedLeaderSucceedsItselfUnderAHigherTerm) {
     Node before(io, store, "one");
     settle();
     Node after(io, store, "one");
@@ -76,7 +76,7 @@
     EXPECT_FALSE(before.elector.leading());
 }
 
-TEST_F(ElectionStory, a_leader_that_hears_of_a_higher_term_steps_down_at_once_but_not_for_an_equal_one) {
+TEST_F(ElectionTest, LeaderStepsDownForAHigherTermButNotForAnEqualOne) {
     Node one(io, store, "one");
     settle();
     one.elector.heard(1, "two");
@@ -87,7 +87,7 @@
 }
 
 // inc-8739, inc-e02a: a leader that only the workers could not reach kept its claim for as long as that lasted.
-TEST_F(ElectionStory, a_leader_that_resigns_leaves_the_next_term_to_others) {
+TEST_F(ElectionTest, ResignedLeaderLeavesTheNextTermToOthers) {
     Node one(io, store, "one");
     settle();
     ASSERT_TRUE(one.elector.leading());
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -136,7 +136,7 @@
 
 }  // namespace
 
-TEST(Meeting, ran_cancelled_the_leader_is_refused_then_everybody_and_it_hears_of_cancellations_from_the_others) {
+TEST(FaultCombinationTest, StoreRefusesTheLeaderThenEverybodyAndPeersReportCancellations) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(std::string(refused) + outage, seed);
@@ -147,7 +147,7 @@
     }
 }
 
-TEST(Meeting, ran_cancelled_the_leader_is_refused_and_hears_nobody_and_falls_silent_in_time) {
+TEST(FaultCombinationTest, StoreRefusesAnIsolatedLeaderWhichStopsAnsweringInTime) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(std::string(refused) + cut_from_peers + outage, seed);
@@ -159,7 +159,7 @@
 
 // What a machine that hangs holds does not end with its lease. The leader cannot read that it is cancelled, and nobody
 // else can be elected: it goes by the others' word and returns the machine.
-TEST(Meeting, ran_cancelled_machines_hang_while_the_leader_cannot_read_what_is_cancelled) {
+TEST(FaultCombinationTest, MachinesHangWhileTheLeaderCannotReadCancellations) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(R"(
@@ -178,7 +178,7 @@
 
 // Whoever is elected while the leader is refused has read nothing yet when the service goes away for all, and the old
 // leader gives way to the higher term: the leases are kept by what all have said.
-TEST(Meeting, a_leader_that_was_elected_and_has_read_nothing_yet_keeps_what_runs_through_the_outage) {
+TEST(FaultCombinationTest, ElectedLeaderThatHasReadNothingKeepsRunningTasksThroughTheOutage) {
     // Before it has looked at the marker, and while it reads.
     for (const char* after : {"0.0", "0.02"}) {
         SCOPED_TRACE(after);
@@ -197,7 +197,7 @@
 
 // The leader is cut from the others as well, and nobody is elected before the outage. Whoever confirmed knows, and does
 // not lead; the leader cannot know; what machines that hang hold does not end with their leases: they are fenced.
-TEST(Meeting, ran_cancelled_machines_hang_and_nobody_who_knows_leads) {
+TEST(FaultCombinationTest, MachinesHangAndNoInformedControllerLeads) {
     const auto o = play(R"(
 [[troubles]]
 kind = "machines_hang"
@@ -213,7 +213,7 @@
 }
 
 // The confirming controller ends at once and is back: what it has told is known to nobody who asks it again.
-TEST(Meeting, ran_cancelled_whoever_confirmed_ends_and_is_back_at_once) {
+TEST(FaultCombinationTest, ConfirmingControllerRestartsAtOnce) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(std::string(refused) + outage + R"(
@@ -232,7 +232,7 @@
 }
 
 // The old leader stands still, or its workers hear no answers, or late ones.
-TEST(Meeting, ran_cancelled_the_old_leader_stands_still_and_wakes) {
+TEST(FaultCombinationTest, OldLeaderPausesAndResumes) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(std::string(refused) + outage + R"(
@@ -252,7 +252,7 @@
 
 // Transactions without an answer are carried out after newer ones of the same controller, while leaders end and users
 // cancel.
-TEST(Meeting, late_writes_come_after_newer_ones_while_leaders_end_and_machines_die) {
+TEST(FaultCombinationTest, LateWritesArriveAfterNewerOnesWhileLeadersEndAndMachinesDie) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(R"(
@@ -290,7 +290,7 @@
 
 // A leader that is cut from the state service and its peers, and whom workers and users still reach: users are sent on,
 // and what the new one confirmed is gone in time.
-TEST(Meeting, a_leader_cut_from_state_and_peers_leaves_users_to_the_others) {
+TEST(FaultCombinationTest, LeaderCutOffFromStoreAndPeersLeavesUsersToOthers) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(R"(
@@ -315,7 +315,7 @@
 }
 
 // Machines with long tasks are out of reach, or deaf, when the leader ends.
-TEST(Meeting, a_leader_ends_while_machines_with_long_tasks_are_out_of_reach_or_deaf) {
+TEST(FaultCombinationTest, LeaderEndsWhileMachinesWithLongTasksAreUnreachableOrReceiveNothing) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(R"(
@@ -348,7 +348,7 @@
     }
 }
 
-TEST(Meeting, ran_cancelled_machines_are_deaf_answers_are_held_and_old_reports_come_again) {
+TEST(FaultCombinationTest, MachinesReceiveNothingResponsesAreDelayedAndOldHeartbeatsRepeat) {
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         SCOPED_TRACE(seed);
         const auto o = play(std::string(refused) + outage + R"(
@@ -409,7 +409,7 @@
 
 // Called off at the very moment at which the service refuses the leader alone; a second later it is out for longer than
 // cancel_s.
-TEST(Meeting, ran_cancelled_called_off_as_the_leader_is_refused_and_a_second_later_all_are) {
+TEST(FaultCombinationTest, CancellationAsTheLeaderIsRefusedAndASecondLaterEverybodyIs) {
     expect_whole(refused + called_off(at_once) + R"(
 [[troubles]]
 kind = "outage"
@@ -425,7 +425,7 @@
 
 // A cancellation, a question and a repeated submission meet the end of a job's last task, with no other trouble; each
 // controller keeps what it has read of two jobs.
-TEST(Meeting, went_back_whatever_meets_the_end_of_the_last_task_is_told_one_end) {
+TEST(FaultCombinationTest, LastTaskEndsWithCancellationsAndPollsAndOneOutcomeIsReported) {
     std::string few = world;
     few.replace(few.find("warm = 24"), 9, "warm = 24\nknown_jobs = 2");
     for (std::size_t at = 0; (at = few.find("runs_s = 150", at)) != std::string::npos; ++at)
@@ -455,7 +455,7 @@
 
 // Workers reach no controller, while direct questions reach them: they lose their leases by their own clocks, and
 // nothing of theirs is started elsewhere before that is known.
-TEST(Meeting, machines_that_reach_no_controller_meet_cancellations_and_a_new_leader) {
+TEST(FaultCombinationTest, MachinesThatReachNoControllerMeetCancellationsAndANewLeader) {
     expect_whole(R"(
 [[troubles]]
 kind = "machines_mute"
@@ -477,7 +477,7 @@
 }
 
 // Reports and answers are held back until another leads, and copies of old ones arrive there.
-TEST(Meeting, reports_are_held_until_a_new_leader_has_acted) {
+TEST(FaultCombinationTest, HeartbeatsAreDelayedUntilANewLeaderHasActed) {
     expect_whole(R"(
 [[troubles]]
 kind = "held"
@@ -505,7 +505,7 @@
                  {1, 2, 3}, [](const auto& o) { EXPECT_GT(o.elections, 1u); });
 }
 
-TEST(Meeting, quota_a_team_is_at_its_limit_when_the_leader_changes_and_machines_can_not_be_asked) {
+TEST(FaultCombinationTest, TeamAtItsLimitWhileLeaderChangesAndMachinesAreUnreachable) {
     std::string limited = world;
     const std::string team = "name = \"red\"";
     limited.replace(limited.find(team), team.size(), team + "\ncpus_max = 330.0");
@@ -534,7 +534,7 @@
 }
 
 // All end, are back within a moment, end again and stay away for longer than a lease.
-TEST(Meeting, all_controllers_end_twice_and_are_away_for_longer_than_a_lease) {
+TEST(FaultCombinationTest, AllControllersEndTwiceForLongerThanALease) {
     expect_whole(R"(
 [[troubles]]
 kind = "crash"
@@ -552,7 +552,7 @@
 }
 
 // Ten leaders in two minutes, some of them while the service is out.
-TEST(Meeting, leaders_change_ten_times_in_two_minutes_also_inside_an_outage) {
+TEST(FaultCombinationTest, LeadersChangeTenTimesInTwoMinutesAlsoInAnOutage) {
     expect_whole(R"(
 [[troubles]]
 kind = "crash"
@@ -570,7 +570,7 @@
 }
 
 // A leader that came late has less time left than a report takes to be overdue, and asks the machines directly.
-TEST(Meeting, ran_cancelled_a_leader_is_there_only_moments_before_the_time_is_over) {
+TEST(FaultCombinationTest, LeaderReturnsMomentsBeforeTheCancelDeadline) {
     expect_whole(R"(
 [[troubles]]
 kind = "burst"
@@ -589,7 +589,7 @@
 }
 
 // In an outage all controllers end, and nobody who is back knows what was cancelled before.
-TEST(Meeting, ran_cancelled_all_end_in_an_outage_and_nobody_knows_what_was_cancelled) {
+TEST(FaultCombinationTest, AllControllersEndInAnOutageAndNobodyKnowsTheCancellations) {
     expect_whole(R"(
 [[troubles]]
 kind = "burst"
@@ -613,7 +613,7 @@
 }
 
 // The same with many that are called off at that moment, so that each seed brings it about.
-TEST(Meeting, ran_cancelled_many_are_called_off_and_hang_and_nobody_who_knows_leads) {
+TEST(FaultCombinationTest, ManyCancelledJobsHangAndNoInformedControllerLeads) {
     expect_whole(refused + std::string(cut_from_peers) + called_off(at_once) + R"(
 [[troubles]]
 kind = "outage"
@@ -626,7 +626,7 @@
 
 // Not mended yet: all end so late that those who knew had not fenced yet, and those who are back would have to ask at
 // once. KNOWN-RED.txt, docs/limits.md.
-TEST(Meeting, ran_cancelled_all_end_in_an_outage_shortly_before_the_time_is_over) {
+TEST(FaultCombinationTest, AllControllersEndInAnOutageShortlyBeforeTheCancelDeadline) {
     expect_whole(R"(
 [[troubles]]
 kind = "burst"
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -14,11 +14,11 @@
 
 using app::Fencer;
 
-struct FencerStory : ::testing::Test, cloud::Cloud, worker::Workers {
+struct FencerTest : ::testing::Test, cloud::Cloud, worker::Workers {
     TimePoint now{std::chrono::seconds(1000)};
     const bool simulated = (model::Clock::simulated = &now) != nullptr;
-    FencerStory() { net::asio::co_spawn(io, fencer.run(), net::asio::detached); }
-    ~FencerStory() override { model::Clock::simulated = nullptr; }
+    FencerTest() { net::asio::co_spawn(io, fencer.run(), net::asio::detached); }
+    ~FencerTest() override { model::Clock::simulated = nullptr; }
 
     net::asio::io_context io;
     config::Settings cluster = settings();
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_F(FencerStory, ran_cancelled_a_machine_that_hangs_is_fenced_in_time_and_those_that_answer_are_not) {
+TEST_F(FencerTest, FencesAHangingMachineInTimeAndSparesThoseThatAnswer) {
     hanging = {"n-2"};
     cancelled("run-1", {"n-1", "n-2", "n-3"});
     holds["n-1"].clear();  // it has ended there; on n-3 it goes on until the lease has run out
@@ -106,7 +106,7 @@
     EXPECT_EQ(fencer.fenced(), 1u);
 }
 
-TEST_F(FencerStory, nobody_is_asked_and_nothing_returned_while_somebody_who_knows_leads) {
+TEST_F(FencerTest, DoesNothingWhileAnInformedControllerLeads) {
     somebody_knows = true;
     hanging = {"n-1"};
     cancelled("run-1", {"n-1"});
@@ -115,7 +115,7 @@
     EXPECT_TRUE(returned.empty());
 }
 
-TEST_F(FencerStory, a_machine_that_answers_again_or_a_leader_that_hears_of_it_ends_the_fencing) {
+TEST_F(FencerTest, StopsWhenTheMachineAnswersOrALeaderLearnsOfTheCancellation) {
     hanging = {"n-1", "n-2"};
     cancelled("run-1", {"n-1"});
     pass(cancel() * 0.5 - Seconds(4));
@@ -132,7 +132,7 @@
     EXPECT_TRUE(returned.empty());
 }
 
-TEST_F(FencerStory, ran_cancelled_hundreds_that_hang_are_fenced_in_time_though_the_cloud_answers_late) {
+TEST_F(FencerTest, FencesHundredsOfHangingMachinesInTimeThoughTheCloudIsSlow) {
     std::set<std::string> many;
     for (int i = 0; i < 350; ++i) many.insert("n-" + std::to_string(i));
     hanging = many;
@@ -146,7 +146,7 @@
 }
 
 // A list may be as old as it lags: a machine that it does not show may be there and hang.
-TEST_F(FencerStory, ran_cancelled_a_machine_that_is_not_listed_is_returned_all_the_same) {
+TEST_F(FencerTest, FencesAMachineThatIsNotListed) {
     cancelled("run-1", {"n-1"});
     holds.clear();
     pass(cancel() - Seconds(5));
@@ -154,7 +154,7 @@
 }
 
 // All controllers have ended in an outage: nobody knows what was cancelled before.
-TEST_F(FencerStory, ran_cancelled_who_knows_nothing_fences_what_has_not_been_heard_after_half_of_the_time) {
+TEST_F(FencerTest, UninformedControllerFencesSilentMachinesAfterHalfTheCancelDeadline) {
     cut_off_from_store = true;
     holds = {{"n-1", {"run-1"}}, {"n-2", {"run-2"}}, {"n-3", {"run-3"}}};
     hanging = {"n-1", "n-2"};
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -65,7 +65,7 @@
 }
 
 // A follower that has watched for as long as it must, at `now`.
-struct Watching : ::testing::Test {
+struct FollowerLeasesTest : ::testing::Test {
     config::Settings settings = test::settings();  // lease 18 s, cancellations 48 s
     scheduler::FollowerLeases follower{settings};
     TimePoint now{1000s};
@@ -85,9 +85,9 @@
     }
 };
 
-struct Zones : ::testing::Test, SchedulerHarness {
+struct SilentZoneTest : ::testing::Test, SchedulerHarness {
     std::vector<Worker> here, there;
-    Zones() {
+    SilentZoneTest() {
         for (int i = 0; i < 20; ++i) {
             here.push_back(machine("n-00010" + std::to_string(10 + i), "a"));
             there.push_back(machine("n-00020" + std::to_string(10 + i), "b"));
@@ -115,13 +115,13 @@
 
 }  // namespace
 
-TEST(Notes, a_page_says_what_was_noted) {
+TEST(MachineHintsTest, PageSurvivesEncoding) {
     const auto notes = many_notes(40);
     EXPECT_EQ(wire::decode_machine_hints(wire::encode_machine_hints(notes)), notes);
     EXPECT_TRUE(wire::decode_machine_hints(wire::encode_machine_hints({})).empty());
 }
 
-TEST(Notes, damaged_text_is_refused) {
+TEST(MachineHintsTest, DamagedTextIsRefused) {
     auto text = wire::encode_machine_hints(many_notes(40));
     EXPECT_THROW(wire::decode_machine_hints("no page"), wire::DecodeError);
     EXPECT_THROW(wire::decode_machine_hints(text.substr(0, text.size() / 2)), wire::DecodeError);
@@ -132,7 +132,7 @@
     }
 }
 
-TEST(Notes, pages_fit_into_values_and_only_what_changed_is_written_again) {
+TEST(MachineHintsTest, PagesFitIntoValuesAndOnlyChangedOnesAreRewritten) {
     auto settings = test::settings();
     settings.limits.value_bytes = 2048;
     const state::RecordFormat record_format(settings);
@@ -155,7 +155,7 @@
     EXPECT_FALSE(fewer.back().value);
 }
 
-TEST(Notes, one_page_that_cannot_be_read_spoils_no_other) {
+TEST(MachineHintsTest, UnreadablePageAffectsNoOther) {
     auto settings = test::settings();
     const state::RecordFormat record_format(settings);
     auto items = as_items(scheduler::HandoverHints(record_format).pages(many_notes(600)));
@@ -166,7 +166,7 @@
 
 // After each hand-over tasks were placed as if no machine held any image, and fetched for a minute or two what lay on
 // the machine beside.
-TEST(Notes, a_new_leader_places_where_the_image_lies) {
+TEST(MachineHintsTest, NewLeaderPlacesWhereTheImageIsCached) {
     SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     w.elect();
@@ -203,7 +203,7 @@
     }
 }
 
-TEST(Notes, of_machines_that_report_later_are_kept_until_then_and_own_eyes_count_more) {
+TEST(MachineHintsTest, HintsOnUnknownMachinesAreKeptAndOwnObservationsTakePrecedence) {
     fleet::MachineInventory inventory;
     inventory.set_types(types());
     inventory.recall({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
@@ -217,7 +217,7 @@
 }
 
 // Jobs that had waited for minutes were the youngest after each hand-over.
-TEST(Waiting, goes_on_under_a_new_leader) {
+TEST(GangFailoverTest, WaitingGangCompletesUnderANewLeader) {
     SchedulerHarness w;
     auto spec = job("run-1", JobKind::array, 1);
     spec.accepted_ms = w.wall_ms;
@@ -236,7 +236,7 @@
 
 // Riga's loss: the member whose report let the gang regroup was answered with the new run alone, refused it (in_use),
 // and the gang failed and fetched again on other machines.
-TEST(Gangs, a_member_that_waits_under_the_old_attempt_makes_way_in_the_answer_that_was_held) {
+TEST(GangFailoverTest, MemberWaitingUnderTheOldAttemptIsReplacedInTheDelayedResponse) {
     SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     ASSERT_TRUE(place_gang(w, m1, m2));
@@ -261,7 +261,7 @@
     EXPECT_EQ(commands[1].id.index, late);
 }
 
-TEST(Gangs, a_member_that_gave_up_waiting_has_its_image_for_a_new_leader_too) {
+TEST(GangFailoverTest, ImageOfAMemberThatGaveUpWaitingIsKnownToTheNewLeader) {
     SchedulerHarness w;
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "a");
     ASSERT_TRUE(place_gang(w, m1, m2));
@@ -274,13 +274,13 @@
     EXPECT_EQ(w.leader->inventory().notes()[0].name, "n-000001");
 }
 
-TEST_F(Watching, a_worker_that_comes_back_from_the_leader_unheard_keeps_its_lease) {
+TEST_F(FollowerLeasesTest, WorkerThatTheLeaderDidNotAnswerKeepsItsLease) {
     const auto commands = asked_twice(with_task("run-1"));
     ASSERT_TRUE(commands);
     EXPECT_TRUE(commands->empty()) << "nothing is given to it, and nothing taken";
 }
 
-TEST_F(Watching, cancelled_work_is_stopped) {
+TEST_F(FollowerLeasesTest, StopsCancelledTasks) {
     follower.watched({outcome("run-1", "aborted"), outcome("run-2", "done")}, now);
     const auto commands = asked_twice(with_task("run-1"));
     ASSERT_TRUE(commands);
@@ -292,7 +292,7 @@
 
 // Whoever's task is cancelled elsewhere after the last look must see it gone within cancel_s: the lease that the last
 // answer renewed has to run out by then.
-TEST_F(Watching, it_falls_silent_while_the_lease_still_ends_in_time) {
+TEST_F(FollowerLeasesTest, StopsAnsweringWhileTheLeaseStillExpiresInTime) {
     const auto looked = now;
     TimePoint last{};
     for (; now < looked + model::to_clock(settings.cancel); now += 500ms)
@@ -301,7 +301,7 @@
     EXPECT_LT(last + model::to_clock(settings.lease), looked + model::to_clock(settings.cancel));
 }
 
-TEST_F(Watching, what_was_cancelled_before_it_watched_may_still_run_so_it_waits) {
+TEST_F(FollowerLeasesTest, WaitsUntilWhatWasCancelledBeforeItWatchedIsGone) {
     follower.lost_track(now);
     watch(settings.cancel - Seconds(1));
     EXPECT_FALSE(asked_twice(with_task("run-1")));
@@ -309,14 +309,14 @@
     EXPECT_TRUE(follower.answer(with_task("run-1"), now));
 }
 
-TEST_F(Watching, who_was_here_long_ago_is_sent_to_the_leader_again) {
+TEST_F(FollowerLeasesTest, ReturningWorkerIsRedirectedToTheLeaderAgain) {
     ASSERT_TRUE(asked_twice(with_task("run-1")));
     watch(Seconds(30));
     EXPECT_FALSE(follower.answer(with_task("run-1"), now));
 }
 
 // A cut zone's machines were returned one by one before a third of their kind was overdue, images and all.
-TEST_F(Zones, a_zone_that_falls_silent_as_a_whole_is_waited_for) {
+TEST_F(SilentZoneTest, WaitsForAZoneThatFallsSilentAsAWhole) {
     elect();
     live(12, 0);
     live(25, 20);
@@ -326,14 +326,14 @@
     EXPECT_GT(returned("n-0002"), 0u) << "not for ever";
 }
 
-TEST_F(Zones, many_dead_machines_are_no_cut_and_are_replaced_at_once) {
+TEST_F(SilentZoneTest, ManyDeadMachinesAreNoPartitionAndAreReplacedAtOnce) {
     elect();
     live(12, 0);
     live(12, 5);
     EXPECT_EQ(returned("n-0002"), 5u);
 }
 
-TEST_F(Zones, nothing_is_rented_where_it_could_not_be_heard) {
+TEST_F(SilentZoneTest, LaunchesNoMachineWhereItCouldNotBeHeard) {
     elect();
     live(12, 0);
     live(6, 20);
--- a/tests/incarnations_test.cpp
+++ b/tests/incarnations_test.cpp
@@ -11,7 +11,7 @@
 
 using From = peer::Incarnations::From;
 
-TEST(LivesStory, a_message_that_was_held_does_not_speak_for_the_life_after_it) {
+TEST(IncarnationsTest, DelayedMessageDoesNotCountForTheNextIncarnation) {
     peer::Incarnations incarnations;
     EXPECT_EQ(incarnations.heard("one", 70, 1), From::next);
     EXPECT_EQ(incarnations.heard("one", 70, 1), From::present);
@@ -25,14 +25,14 @@
     EXPECT_EQ(incarnations.heard("two", 0, 5), From::present);
 }
 
-TEST(LivesStory, a_life_travels_with_every_message) {
+TEST(IncarnationsTest, IncarnationIsPartOfEveryMessage) {
     peer::StatusMessage heartbeat;
     heartbeat.member = "one";
     heartbeat.incarnation = 1'700'000'000'000'123;
     EXPECT_EQ(peer::decode(peer::encode(heartbeat)).incarnation, heartbeat.incarnation);
 }
 
-TEST(PortStory, a_port_that_is_taken_is_named_and_a_free_one_is_had) {
+TEST(ListenTest, TakenPortIsNamedAndAFreeOneIsBound) {
     net::asio::io_context io;
     net::tcp::acceptor first(io), second(io), third(io);
     net::listen_when_free(first, "127.0.0.1", 0, 8);
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-struct Chain : ::testing::Test, SchedulerHarness {
+struct JobDependenciesTest : ::testing::Test, SchedulerHarness {
     Worker m1, m2;
 
-    Chain() {
+    JobDependenciesTest() {
         m2.name = "n-000002";
         m2.zone = "b";
         record_format.all_read(state::newest_format);
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_F(Chain, too_early_nothing_is_placed_before_all_that_it_needs_is_done_on_record) {
+TEST_F(JobDependenciesTest, NothingIsPlacedBeforeAllDependenciesAreDoneOnRecord) {
     elect();
     accept(job("run-1", JobKind::array, 2));
     accept(after("run-2", {"run-1"}));
@@ -68,7 +68,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-TEST_F(Chain, too_early_a_lost_write_of_the_end_is_read_again_before_anything_starts) {
+TEST_F(JobDependenciesTest, LostWriteOfAnOutcomeIsReadAgainBeforeAnythingStarts) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
@@ -83,7 +83,7 @@
     EXPECT_TRUE(place());
 }
 
-TEST_F(Chain, too_early_a_new_leader_waits_until_it_has_read_how_a_prerequisite_ended) {
+TEST_F(JobDependenciesTest, NewLeaderWaitsUntilItHasReadHowADependencyEnded) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     run("run-1", m1);
@@ -100,7 +100,7 @@
     EXPECT_TRUE(leader->missing().empty());
 }
 
-TEST_F(Chain, too_early_a_leader_whose_records_linger_does_not_take_over_for_done) {
+TEST_F(JobDependenciesTest, LingeringRecordsAreNotTakenForADoneDependency) {
     // run-1 was cancelled, and its work was not removed before the leader died. The next one knows that it is over and
     // not how, until it reads that.
     elect();
@@ -117,7 +117,7 @@
     EXPECT_EQ(state_of("run-2"), "aborted");
 }
 
-TEST_F(Chain, too_early_a_job_may_be_heard_of_before_the_one_that_it_needs) {
+TEST_F(JobDependenciesTest, DependentMayBecomeKnownBeforeItsDependency) {
     elect();
     accept(job("run-9", JobKind::array, 1));
     leader.reset();
@@ -131,7 +131,7 @@
     EXPECT_TRUE(leader->missing().empty()) << "both are known by now";
 }
 
-TEST_F(Chain, too_early_what_was_placed_once_may_go_on_under_the_next_leader) {
+TEST_F(JobDependenciesTest, PlacedDependentContinuesUnderTheNextLeader) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
@@ -147,7 +147,7 @@
     EXPECT_TRUE(place());
 }
 
-TEST_F(Chain, orphaned_all_that_needs_a_cancelled_job_is_aborted_directly_or_through_others) {
+TEST_F(JobDependenciesTest, CancelledJobAbortsDirectAndIndirectDependents) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
@@ -167,7 +167,7 @@
     EXPECT_EQ(state_of("run-6"), "aborted") << "it names one that is cancelled already";
 }
 
-TEST_F(Chain, orphaned_the_next_leader_goes_on_where_the_last_one_died) {
+TEST_F(JobDependenciesTest, NextLeaderContinuesAbortingDependents) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     for (int i = 2; i < 12; ++i) accept(after("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)}));
@@ -181,7 +181,7 @@
     for (int i = 2; i < 12; ++i) EXPECT_EQ(state_of("run-" + std::to_string(i)), "aborted") << i;
 }
 
-TEST_F(Chain, orphaned_hundreds_go_before_all_bookkeeping) {
+TEST_F(JobDependenciesTest, HundredsOfAbortsPrecedeAllBookkeeping) {
     elect();
     for (int i = 0; i < 20; ++i) accept(job("run-a" + std::to_string(i), JobKind::array, 1));
     accept(job("run-1", JobKind::array, 1));
@@ -196,7 +196,7 @@
     for (int i = 0; i < 300; ++i) ASSERT_EQ(state_of("run-b" + std::to_string(i)), "aborted") << i;
 }
 
-TEST_F(Chain, orphaned_a_job_accepted_while_another_controller_cancels_what_it_needs) {
+TEST_F(JobDependenciesTest, DependentAcceptedWhileAnotherControllerCancelsItsDependencyIsAborted) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
@@ -210,7 +210,7 @@
     EXPECT_EQ(state_of("run-2"), "aborted");
 }
 
-TEST_F(Chain, a_cancellation_that_comes_too_late_lets_the_next_job_go_on) {
+TEST_F(JobDependenciesTest, CancellationAfterTheEndLetsTheDependentContinue) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
@@ -222,7 +222,7 @@
     EXPECT_EQ(state_of("run-2"), "open");
 }
 
-TEST_F(Chain, a_waiting_job_is_cancelled_like_any_and_lends_its_rank_no_more) {
+TEST_F(JobDependenciesTest, CancelledDependentNoLongerRaisesThePriorityOfItsDependency) {
     elect();
     auto first = job("run-1", JobKind::array, 1);
     first.priority = Priority::idle;
@@ -239,7 +239,7 @@
     EXPECT_EQ(state_of("run-1"), "open");
 }
 
-TEST_F(Chain, nothing_is_rented_held_or_stopped_for_a_job_that_waits_and_it_takes_nothing_of_a_limit) {
+TEST_F(JobDependenciesTest, WaitingDependentCausesNoScaleOutReservationOrPreemptionAndUsesNoQuota) {
     elect();
     auto first = job("run-1", JobKind::array, 1);
     first.team = "limited";  // two such tasks fill its limit
@@ -262,7 +262,7 @@
     EXPECT_FALSE(leader->job("run-3")->tasks[0].draining);
 }
 
-TEST_F(Chain, the_first_job_of_an_urgent_chain_goes_before_what_is_shorter_and_less_urgent) {
+TEST_F(JobDependenciesTest, FirstJobOfACriticalChainPrecedesShorterLessUrgentJobs) {
     elect();
     auto first = job("run-1", JobKind::array, 2);
     first.priority = Priority::idle;
@@ -280,7 +280,7 @@
     EXPECT_EQ(machine_of("run-0", 0), "");
 }
 
-TEST_F(Chain, times_count_from_when_the_last_prerequisite_was_done_under_the_next_leader_too) {
+TEST_F(JobDependenciesTest, WaitCountsFromTheLastDependencysEndUnderTheNextLeaderToo) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
--- a/tests/known_jobs_test.cpp
+++ b/tests/known_jobs_test.cpp
@@ -13,7 +13,7 @@
 api::KnownJob job(JobState state) { return {state, {model::JobKind::array, 3}, {}}; }
 }  // namespace
 
-TEST(KnownJobsStory, what_was_not_asked_for_the_longest_goes_first) {
+TEST(KnownJobsTest, EvictsTheLeastRecentlyAskedJobFirst) {
     KnownJobs known(2);
     known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::done));
@@ -25,7 +25,7 @@
     EXPECT_TRUE(known.find("run-3"));
 }
 
-TEST(KnownJobsStory, went_back_a_job_only_moves_forward_whichever_answer_comes_last) {
+TEST(KnownJobsTest, JobOnlyMovesForwardWhicheverResponseComesLast) {
     KnownJobs known(2);
     known.learn("run-1", job(JobState::cancelled));
     EXPECT_EQ(known.learn("run-1", job(JobState::open))->state, JobState::cancelled);
@@ -33,7 +33,7 @@
     EXPECT_EQ(known.find("run-1")->state, JobState::cancelled);
 }
 
-TEST(KnownJobsStory, evidence_stays_as_it_is_for_whoever_holds_it) {
+TEST(KnownJobsTest, HeldEvidenceDoesNotChange) {
     KnownJobs known(1);
     const auto held = known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::open));
@@ -43,7 +43,7 @@
     EXPECT_EQ(held->size.tasks, 3u);
 }
 
-TEST(KnownJobsStory, of_rebuilt_records_only_what_is_over_is_still_known) {
+TEST(KnownJobsTest, AfterARecoveryOnlyFinishedJobsAreStillKnown) {
     KnownJobs known(3);
     known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::done));
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST(ScalePlan, is_of_the_size_that_is_asked_for) {
+TEST(LoadTestPlanTest, HasTheRequestedSize) {
     load_test::Overrides o;
     o.workers = 2000;
     o.controllers = 5;
@@ -74,7 +74,7 @@
                 plan.scenario.jobs[1].per_minute, 1e-6);
 }
 
-TEST(ScalePlan, what_does_not_fit_is_refused_with_the_reason) {
+TEST(LoadTestPlanTest, RefusesWhatDoesNotFitWithAReason) {
     const OpenFiles limit(20'000);
     load_test::Overrides o;
     o.workers = 0;
@@ -95,7 +95,7 @@
     EXPECT_NE(refused(o).find("window_s"), std::string::npos);
 }
 
-TEST(ScaleMessages, come_back_as_they_were) {
+TEST(LoadTestMessagesTest, SurviveEncoding) {
     load_test::Progress progress;
     progress.now = model::TimePoint(123'456'789ns);
     progress.counts.reports = 7;
@@ -121,7 +121,7 @@
     EXPECT_THROW(load_test::parse_from_workers("{"), std::exception);
 }
 
-TEST(ScaleMessages, latencies_add_up_over_processes) {
+TEST(LoadTestMessagesTest, LatenciesAddUpAcrossProcesses) {
     load_test::Latencies a, b;
     for (int i = 0; i < 98; ++i) a.add(1ms);
     b.add(500ms);
@@ -136,7 +136,7 @@
 }
 
 // A task leaves one machine and arrives on another, in two processes, and the arrival is told first.
-TEST(ScaleChecker, ran_twice_only_what_happened_so_and_not_what_was_told_so) {
+TEST(LoadTestCheckerTest, CountsDuplicateRunsByTimeOfOccurrenceNotOfArrival) {
     const auto cluster = settings();
     const model::TimePoint start{std::chrono::seconds(10)};
     for (const bool overlap : {false, true}) {
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(ScaleFit, a_line_is_found_and_what_is_no_line_is_said_so) {
+TEST(LoadTestFitTest, FindsALineAndReportsWhereThereIsNone) {
     std::vector<load_test::Point> points;
     for (const double n : {250.0, 1000.0, 4000.0})
         for (const double error : {-0.1, 0.1}) points.push_back({n, 3 + 0.01 * n + error});
@@ -171,7 +171,7 @@
     EXPECT_EQ(load_test::fit_line({}).runs, 0u);
 }
 
-TEST(ScaleServers, queries_and_limits) {
+TEST(LoadTestServersTest, ParseQueriesAndEnforceLimits) {
     const auto query = load_test::parse_query("/kv?starts=c/&from=c/7&page=20");
     EXPECT_EQ(query.path, "/kv");
     EXPECT_EQ(query.text("starts"), "c/");
@@ -189,7 +189,7 @@
 }
 
 // POST /commands by the protocol.
-TEST(EmulatedWorker, carries_out_direct_commands_of_its_session_and_of_no_lower_token) {
+TEST(SimulatedWorkerTest, ObeysDirectCommandsOfItsIncarnationAndOfNoLowerFencingToken) {
     simulator::Events events(1);
     const auto cluster = settings();
     simulator::Scenario scenario;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-TEST(Placement, urgent_tasks_go_last_to_machines_that_may_be_taken_away_and_others_go_there_first) {
+TEST(PlacementTest, UrgentTasksUseSpotMachinesLastAndOthersUseThemFirst) {
     const auto machines = [] { return Planner({host(1, 4, 90, 0, "a", "type", true), host(2, 4, 90, 3)}, 0.1); };
     auto s = spec(1, 10);
     s.spot = true;
@@ -76,7 +76,7 @@
     EXPECT_EQ(place_all(p, s, 5, urgent), (std::vector<Id>{2, 2, 2, 2, 1}));
 }
 
-TEST(Placement, the_least_loaded_machine_wins_and_ties_go_by_name) {
+TEST(PlacementTest, LeastLoadedMachineWinsAndTiesGoByName) {
     Planner p({host(1, 4, 90, 2), host(2, 4, 90, 1), host(3, 4, 90, 1)}, 0.1);
     JobHosts job;
     EXPECT_EQ(place_all(p, spec(1, 10), 1, job), std::vector<Id>{2});
@@ -84,7 +84,7 @@
     EXPECT_EQ(place_all(p, spec(1, 10), 1, other), std::vector<Id>{3});
 }
 
-TEST(Placement, a_jobs_own_machines_come_first) {
+TEST(PlacementTest, PrefersTheJobsOwnMachines) {
     Planner p({host(1, 4, 90, 3), host(2, 4, 90, 0)}, 0.1);
     JobHosts job;
     job.own.push_back(1);
@@ -92,7 +92,7 @@
 }
 
 // Replicas of one service on one machine go with it, and so do most machines that hold its image.
-TEST(Placement, a_services_replicas_spread_unless_its_image_is_sooner_where_one_is) {
+TEST(PlacementTest, ServiceReplicasSpreadUnlessTheImageIsReadySoonerElsewhere) {
     auto service = spec(1, 10);
     service.kind = model::JobKind::service;
     service.tasks = 4;
@@ -106,7 +106,7 @@
     EXPECT_EQ(place_all(packed, service, 2, other), (std::vector<Id>{1, 1}));
 }
 
-TEST(Placement, a_machine_with_the_image_is_preferred_to_a_less_loaded_one) {
+TEST(PlacementTest, PrefersACachedImageToALessLoadedMachine) {
     auto with = host(2, 4, 90, 2);
     with.images.push_back(directory().image("image"));
     Planner p({host(1, 4, 90, 0), with}, 0.1);
@@ -114,7 +114,7 @@
     EXPECT_EQ(place_all(p, spec(1, 10), 1, job), std::vector<Id>{2});
 }
 
-TEST(Placement, the_memory_margin_keeps_tasks_off_a_tight_machine_but_not_off_an_empty_one) {
+TEST(PlacementTest, MemoryMarginProtectsTightMachinesButNotEmptyOnes) {
     Planner tight({host(1, 4, 10.5, 1)}, 0.1);
     JobHosts job;
     EXPECT_EQ(tight.place(Asked(spec(1, 10)).ask, job), Planner::none);
@@ -125,7 +125,7 @@
     EXPECT_EQ(empty.place(Asked(spec(1, 10)).ask, fresh), 0u);
 }
 
-TEST(Placement, gpu_tasks_wait_for_gpu_machines) {
+TEST(PlacementTest, GpuTasksWaitForGpuMachines) {
     Planner p({host(1, 0, 90, 0)}, 0.1);
     JobHosts job;
     EXPECT_EQ(p.place(Asked(spec(1, 10)).ask, job), Planner::none);
@@ -133,14 +133,14 @@
 }
 
 // Idle tasks of a guest that took the processors of the least loaded machines left 2,600 accelerators idle.
-TEST(Placement, a_task_without_accelerators_goes_where_the_fewest_would_lie_idle) {
+TEST(PlacementTest, CpuTaskGoesWhereTheFewestGpusWouldIdle) {
     Planner p({host(1, 4, 90, 0), host(2, 0, 90, 6), host(3, 2, 90, 1)}, 0.1);
     JobHosts job, other;
     EXPECT_EQ(place_all(p, spec(0, 10), 1, job), std::vector<Id>{2});
     EXPECT_EQ(place_all(p, spec(1, 10), 1, other), std::vector<Id>{1});
 }
 
-TEST(Placement, groups_say_which_types_a_class_may_use) {
+TEST(PlacementTest, GroupsRestrictTheMachineTypesOfAClass) {
     Rules rules;
     rules.groups["training"] = {"other"};
     Planner p({host(1, 4, 90, 0)}, 0.1);
@@ -152,7 +152,7 @@
     EXPECT_EQ(p.place(Asked(s, rules).ask, job), 0u);
 }
 
-TEST(Placement, a_gang_is_placed_whole_or_not_at_all_and_takes_no_room_when_not) {
+TEST(PlacementTest, GangIsPlacedWholeOrNotAtAllAndThenTakesNoRoom) {
     Planner p({host(1, 2, 90, 0), host(2, 2, 90, 0)}, 0.1);
     auto s = spec(2, 50);
     JobHosts job;
@@ -160,7 +160,7 @@
     EXPECT_EQ(p.place_together(Asked(s).ask, job, 2), (std::vector<std::size_t>{0, 1}));
 }
 
-TEST(Placement, a_one_zone_gang_finds_the_zone_with_room_for_all) {
+TEST(PlacementTest, OneZoneGangFindsTheZoneWithRoomForAll) {
     Planner p({host(1, 2, 90, 0, "a"), host(2, 2, 90, 0, "b"), host(3, 2, 90, 0, "b")}, 0.1);
     auto s = spec(2, 50);
     s.one_zone = true;
@@ -168,7 +168,7 @@
     EXPECT_EQ(p.place_together(Asked(s).ask, job, 2), (std::vector<std::size_t>{1, 2}));
 }
 
-TEST(Placement, a_one_zone_gang_goes_where_its_last_machine_has_the_image_soonest) {
+TEST(PlacementTest, OneZoneGangPrefersTheZoneThatHasTheImageSoonest) {
     std::vector<Host> hosts{host(1, 2, 90, 0, "a"), host(2, 2, 90, 0, "a"), host(3, 2, 90, 0, "b"),
                             host(4, 2, 90, 0, "b")};
     for (const auto i : {0, 2, 3}) hosts[static_cast<std::size_t>(i)].images.push_back(directory().image("image"));
@@ -180,7 +180,7 @@
     EXPECT_EQ(job.in_zone(directory().zone("b")), 2u);
 }
 
-TEST(Placement, a_spread_job_puts_at_most_half_rounded_up_in_a_zone) {
+TEST(PlacementTest, SpreadJobPutsAtMostHalfRoundedUpInAZone) {
     Planner p({host(1, 8, 900, 0, "a"), host(2, 8, 900, 0, "b")}, 0.1);
     auto s = spec(1, 10);
     s.spread = true;
@@ -194,7 +194,7 @@
 
 // The load table orders candidates once a job. That must give what a plain scan for each task gives, for machines and
 // jobs of every kind.
-TEST(Placement, many_tasks_at_once_go_where_one_scan_each_would_put_them) {
+TEST(PlacementTest, PlacingManyTasksEqualsPlacingThemOneByOne) {
     std::mt19937 dice(7);
     const auto roll = [&](unsigned n) { return static_cast<unsigned>(dice() % n); };
     const std::vector<std::string> zones{"a", "b", "c"}, images{"image", "other", "third"}, kinds{"type", "large"};
@@ -243,7 +243,7 @@
     EXPECT_GT(partly, 20u);
 }
 
-TEST(Placement, a_trial_that_is_not_kept_leaves_the_table_as_it_was) {
+TEST(PlacementTest, DiscardedTrialLeavesTheTableUnchanged) {
     Planner p({host(1, 2, 90, 0), host(2, 2, 90, 0)}, 0.1);
     const Asked a(spec(2, 50));
     {
@@ -256,7 +256,7 @@
     EXPECT_EQ(p.place_many(a.ask, job, 3), (std::vector<std::size_t>{0, 1}));
 }
 
-TEST(Placement, a_task_in_an_unknown_zone_counts_in_every_zone_of_a_spread_job) {
+TEST(PlacementTest, TaskInAnUnknownZoneCountsInEveryZoneOfASpreadJob) {
     Planner p({host(1, 8, 900, 0, "a"), host(2, 8, 900, 0, "b")}, 0.1);
     auto s = spec(1, 10);
     s.spread = true;
@@ -267,7 +267,7 @@
     EXPECT_EQ(job.in_zone(directory().zone("a")), 1u);
 }
 
-TEST(Queue, rank_then_window_then_shortest_less_ageing) {
+TEST(QueueOrderTest, PriorityThenWindowThenShortestLessAging) {
     const auto w = [](model::Priority priority, std::int64_t window, double length, double waited, const char* uid) {
         return Waiting{priority, window, Seconds(length), Seconds(waited), uid};
     };
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST(QuotaStory, a_limit_leaves_room_for_whole_tasks_and_an_unknown_team_has_none) {
+TEST(QuotaTest, LimitLeavesRoomForWholeTasksAndUnknownTeamsHaveNone) {
     QuotaAccounting l(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
     const model::Resources need{4, 1, 10};
     EXPECT_EQ(l.room("red", need, 100), 2u) << "CPUs bind first";
@@ -52,7 +52,7 @@
 }
 
 // No order of news makes the use other than a plain count of what is placed.
-TEST(QuotaStory, the_use_is_what_a_plain_recount_finds_after_any_news) {
+TEST(QuotaTest, UsageEqualsARecountAfterAnyEvents) {
     boost::random::mt19937 luck(7);
     QuotaAccounting l(Table{{"red", {{50, 20}, {}}}, {"blue", {{0, 9}, {}}}});
     std::vector<std::pair<std::string, model::Resources>> placed;
@@ -81,7 +81,7 @@
     }
 }
 
-TEST(QuotaStory, a_job_is_guaranteed_if_it_fits_beside_all_that_its_team_had_accepted_before) {
+TEST(QuotaTest, JobIsGuaranteedIfItFitsBesideItsTeamsEarlierJobs) {
     QuotaAccounting l(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
     l.opened(of_team("run-2", "red", 2, 20));
     l.opened(of_team("run-1", "red", 1, 10));
@@ -101,7 +101,7 @@
     EXPECT_FALSE(l.below_guarantee("red"));
 }
 
-TEST(QuotaStory, nobody_is_brought_below_his_own_guarantee) {
+TEST(QuotaTest, NoTeamIsPreemptedBelowItsOwnGuarantee) {
     QuotaAccounting l(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
     for (int i = 0; i < 3; ++i) l.placed("blue", {4, 1, 10});
     EXPECT_TRUE(l.may_stop("blue", {}, {4, 1, 10}));
@@ -110,7 +110,7 @@
     EXPECT_TRUE(l.may_stop("red", {}, {4, 1, 10}));
 }
 
-TEST(QuotaStory, while_tables_differ_the_strictest_figure_of_each_holds) {
+TEST(QuotaTest, StrictestFigureHoldsWhileTablesDiffer) {
     const Table old{{"red", {{0, 10}, {8, 4}}}, {"blue", {{20, 0}, {}}}};
     const Table fresh{{"red", {{30, 6}, {8, 6}}}, {"green", {{1, 1}, {}}}};
     const Table both{{"red", {{30, 6}, {8, 4}}}, {"blue", {{20, 0}, {}}}, {"green", {{1, 1}, {}}}};
@@ -118,7 +118,7 @@
     EXPECT_EQ(quota::strictest(fresh, old), both);
 }
 
-TEST(QuotaStory, over_a_lowered_limit_nothing_is_stopped_and_nothing_starts) {
+TEST(QuotaTest, AboveALoweredLimitNothingIsStoppedAndNothingStarts) {
     SchedulerHarness w;
     w.settings = with_teams({team("team", 0, 6)});
     w.elect();
@@ -146,7 +146,7 @@
 }
 
 // A machine that falls silent still holds what it may hold.
-TEST(QuotaStory, quota_a_silent_machine_counts_until_the_cloud_says_it_is_gone) {
+TEST(QuotaTest, SilentMachineCountsUntilTheCloudConfirmsItGone) {
     SchedulerHarness w;
     w.settings = with_teams({team("team", 0, 2)});
     w.elect();
@@ -175,7 +175,7 @@
     EXPECT_EQ(w.machine_of("run-1", 0), other.name);
 }
 
-TEST(QuotaStory, what_is_guaranteed_comes_before_other_teams_whatever_their_rank) {
+TEST(QuotaTest, GuaranteedJobsPrecedeOtherTeamsOfAnyPriority) {
     SchedulerHarness w;
     w.settings = with_teams({team("team", 0), team("sure", 2)});
     w.elect();
@@ -195,7 +195,7 @@
     EXPECT_EQ(w.machine_of("run-1", 0), "");
 }
 
-TEST(QuotaStory, for_a_guarantee_work_beyond_others_guarantees_is_stopped_and_no_more_than_that) {
+TEST(QuotaTest, GuaranteePreemptsOnlyWhatExceedsOtherGuarantees) {
     SchedulerHarness w;
     w.settings = with_teams({team("team", 0), team("sure", 2)});
     w.elect();
@@ -238,7 +238,7 @@
     }
 }
 
-TEST(QuotaStory, a_team_within_its_own_guarantee_gives_nothing_to_another) {
+TEST(QuotaTest, TeamWithinItsGuaranteeIsNotPreempted) {
     SchedulerHarness w;
     w.settings = with_teams({team("team", 2), team("sure", 2)});
     w.elect();
@@ -265,7 +265,7 @@
 }
 
 // A roll of all controllers with a new table: the leader goes by the strictest until the last has come back.
-TEST(QuotaStory, limits_that_change_in_a_roll_hold_from_the_first_new_controller_to_the_last_old_one) {
+TEST(QuotaTest, ChangedLimitsHoldFromTheFirstNewControllerToTheLastOldOne) {
     net::asio::io_context io;
     FakeStore store;
     auto old_settings = with_teams({team("team", 0, 8)});
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -21,7 +21,7 @@
     return R"({"spec":)" + std::string(production_spec) + R"(,"tasks":)" + tasks + "}";
 }
 
-struct Upgrade : ::testing::Test, SchedulerHarness {
+struct RecordFormatUpgradeTest : ::testing::Test, SchedulerHarness {
     Worker m1;
 
     void put(const std::string& key, const std::string& value) {
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-TEST_F(Upgrade, the_new_version_reads_what_the_old_one_wrote) {
+TEST_F(RecordFormatUpgradeTest, ReadsRecordsOfTheOldVersion) {
     put("jobs/work/run-1", record(R"([[0,0,2,"n-000001",0],[1,1,1,"",1],[2,2,1,"",0]])"));
     put("jobs/work/run-2", R"({"spec":{},"tasks":[]})");
     put("jobs/over/run-3", R"({"state":"aborted","spec":)" + std::string(production_spec) + "}");
@@ -84,7 +84,7 @@
     EXPECT_FALSE(leader->knows("run-3"));
 }
 
-TEST_F(Upgrade, ran_twice_a_job_whose_records_cannot_be_read_is_left_alone) {
+TEST_F(RecordFormatUpgradeTest, JobWithUnreadableRecordsIsLeftAlone) {
     put("jobs/work/run-1", record(R"([[0,0,1,"n-000009",0],[1,"?"]])"));
     put("jobs/work/run-2", R"({"spec":7,"tasks":[]})");
     elect();
@@ -95,7 +95,7 @@
     EXPECT_GT(keys.get("jobs/work/run-1").mod_revision, 0u) << "nor is anything of it removed";
 }
 
-TEST_F(Upgrade, before_the_switch_the_new_version_writes_what_the_old_one_would) {
+TEST_F(RecordFormatUpgradeTest, WritesWhatTheOldVersionWouldBeforeTheSwitch) {
     elect();
     auto spec = wire::spec_from_record(boost::json::parse(production_spec).as_object());
     accept(spec);
@@ -123,7 +123,7 @@
               R"({"state":"done","spec":)" + std::string(production_spec) + "}");
 }
 
-TEST_F(Upgrade, an_old_controller_leads_between_two_new_ones_and_nothing_is_lost_or_written_late) {
+TEST_F(RecordFormatUpgradeTest, OldControllerLeadsBetweenTwoNewOnesAndNothingIsLost) {
     elect();
     accept(wire::spec_from_record(boost::json::parse(production_spec).as_object()));
     settle();
@@ -152,7 +152,7 @@
     EXPECT_EQ(leader->count("run-1")->done, 1u);
 }
 
-TEST_F(Upgrade, the_limits_fall_in_the_midst_of_a_large_array_and_every_write_leaves_what_the_next_leader_reads) {
+TEST_F(RecordFormatUpgradeTest, LimitsFallDuringALargeArrayAndEveryWriteStaysReadable) {
     constexpr std::uint32_t tasks = 600;
     large_array(tasks);
     ASSERT_GT(text("jobs/work/run-1/1").size(), 6000u);
@@ -202,7 +202,7 @@
     EXPECT_TRUE(keys.range("jobs/work/").empty()) << "nothing of it is left over";
 }
 
-TEST(RecordFormat, a_refused_size_proves_the_new_limits_only_if_the_present_ones_allow_it) {
+TEST(RecordFormatTest, RefusedSizeProvesTheNewLimitsOnlyIfThePresentOnesAllowIt) {
     auto s = settings();
     s.next_limits = s.limits;
     s.next_limits->value_bytes = 2048;
@@ -221,7 +221,7 @@
     EXPECT_FALSE(before.newest()) << "no limits are to come";
 }
 
-TEST_F(Upgrade, a_record_that_is_refused_is_cut_and_stops_nobody_else) {
+TEST_F(RecordFormatUpgradeTest, RejectedRecordIsSplitAndBlocksNoOther) {
     // The limits have fallen, and nobody here knows of it yet but for the refusal: no limits to come were announced.
     record_format.all_read(state::newest_format);
     elect();
@@ -245,7 +245,7 @@
     EXPECT_EQ(runs, 91) << "all that was placed is on record";
 }
 
-TEST_F(Upgrade, jobs_accepted_with_a_large_description_are_placed_and_end_under_small_limits) {
+TEST_F(RecordFormatUpgradeTest, JobsWithLargeDescriptionsRunUnderSmallLimits) {
     elect();
     auto spec = job("run-2", JobKind::array, 2);
     spec.types.emplace();
@@ -269,7 +269,7 @@
     EXPECT_TRUE(keys.range("jobs/work/").empty());
 }
 
-TEST_F(Upgrade, a_long_submission_is_cut_and_every_leader_puts_it_together) {
+TEST_F(RecordFormatUpgradeTest, LongSubmissionIsFragmentedAndReassembledByEveryLeader) {
     elect();
     lower_limits(2048, 4);
     auto spec = job("run-2", JobKind::array, 2);
@@ -292,7 +292,7 @@
 
 namespace {
 
-struct MembersStory : ::testing::Test {
+struct MembersTest : ::testing::Test {
     net::asio::io_context io;
     FakeStore store;
 
@@ -325,7 +325,7 @@
 
 }  // namespace
 
-TEST_F(MembersStory, the_new_form_is_used_once_the_last_controller_has_the_new_version) {
+TEST_F(MembersTest, NewFormatIsUsedOnceTheLastControllerIsUpgraded) {
     Node one(io, store, "one");
     settle();
     Node two(io, store, "two");
@@ -341,7 +341,7 @@
     EXPECT_TRUE(again.record_format.newest()) << "whoever starts later finds it out, though the others may be gone";
 }
 
-TEST_F(MembersStory, a_controller_that_cannot_ask_changes_nothing_and_a_lost_answer_does_no_harm) {
+TEST_F(MembersTest, UnreachableStoreChangesNothingAndALostResponseDoesNoHarm) {
     for (const auto* name : {"two", "three"}) {
         state::Txn txn;
         txn.changes.push_back({std::string("members/") + name, boost::json::object{{"format", 2}}, 0});
@@ -363,7 +363,7 @@
     EXPECT_TRUE(again.members.enrolled());
 }
 
-TEST_F(MembersStory, one_that_reads_less_keeps_all_to_the_old_form) {
+TEST_F(MembersTest, MemberThatReadsLessKeepsAllToTheOldFormat) {
     state::Txn txn;
     txn.changes.push_back({"members/two", boost::json::object{{"format", 1}}, 0});
     txn.changes.push_back({"members/three", boost::json::object{{"format", 3}}, 0});
--- a/tests/recovery_simulation_test.cpp
+++ b/tests/recovery_simulation_test.cpp
@@ -140,11 +140,11 @@
     return out;
 }
 
-struct LossStory : ::testing::TestWithParam<std::tuple<Kind, Kind>> {};
+struct DataLossTest : ::testing::TestWithParam<std::tuple<Kind, Kind>> {};
 
 }  // namespace
 
-TEST_P(LossStory, every_rule_holds_what_runs_goes_on_and_all_are_served) {
+TEST_P(DataLossTest, EveryRuleHoldsRunningWorkContinuesAndAllAreServed) {
     const auto& [lost, also] = GetParam();
     const auto o = play(std::string(lost.trouble) + "\n[[troubles]]\n" + also.trouble, 3);
     EXPECT_EQ(broken(o), "");
@@ -154,12 +154,13 @@
     EXPECT_GT(o.undisturbed, 0.8);
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, LossStory, ::testing::Combine(::testing::ValuesIn(losses), ::testing::ValuesIn(beside)),
+INSTANTIATE_TEST_SUITE_P(Each, DataLossTest,
+                         ::testing::Combine(::testing::ValuesIn(losses), ::testing::ValuesIn(beside)),
                          [](const auto& p) {
                              return std::string(std::get<0>(p.param).name) + "_" + std::get<1>(p.param).name;
                          });
 
-TEST(LossStories, after_a_wipe_placing_goes_on_within_seconds_and_no_task_is_stopped) {
+TEST(DataLossSimulationTest, AfterAWipePlacementContinuesWithinSecondsAndNoTaskIsStopped) {
     const auto o = play("kind = \"wipe\"\nat_s = 50", 1);
     EXPECT_EQ(broken(o), "");
     EXPECT_EQ(o.rebuilt, 1u);
@@ -170,14 +171,14 @@
 }
 
 // The rules table of docs/rebuilding.md: with no memory left jobs are lost, and nothing else may be wrong.
-TEST(LossStories, where_nobody_remembers_anything_jobs_are_forgotten_and_nothing_runs_twice) {
+TEST(DataLossSimulationTest, JobsThatNobodyRemembersAreForgottenAndNothingRunsTwice) {
     const auto o =
         play("kind = \"crash\"\nnode = \"all\"\nlasts_s = 3\nat_s = 50\n[[troubles]]\nkind = \"wipe\"\nat_s = 51", 2);
     EXPECT_GT(o.forgotten, 0u);
     for (const auto& [rule, n] : o.broken) EXPECT_EQ(rule, "forgotten") << o.first.at(rule);
 }
 
-TEST(LossStories, no_false_alarm_without_a_loss) {
+TEST(DataLossSimulationTest, DeclaresNoLossWithoutOne) {
     const auto quiet = play("", 5);
     EXPECT_EQ(broken(quiet), "");
     EXPECT_EQ(quiet.losses, 0u);
@@ -211,12 +212,12 @@
      "kind = \"end_claims\"\nat_s = 50\n[[troubles]]\nkind = \"crash\"\nlasts_s = 0\nat_s = 50.02"},
 };
 
-struct BackAtOnceStory : ::testing::TestWithParam<std::tuple<Kind, double>> {};
+struct ImmediateRestartTest : ::testing::TestWithParam<std::tuple<Kind, double>> {};
 
 }  // namespace
 
 // What the former life had under way arrives late, a third of the machines dies a moment later.
-TEST_P(BackAtOnceStory, every_rule_holds_and_nobody_is_left_behind) {
+TEST_P(ImmediateRestartTest, EveryRuleHoldsAndNobodyIsLeftBehind) {
     const auto& [ends, late] = GetParam();
     std::string text = world;
     const std::string warm = "warm = 24\n";
@@ -231,14 +232,14 @@
     EXPECT_TRUE(o.left_behind.empty()) << o.left_behind.front();
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, BackAtOnceStory,
+INSTANTIATE_TEST_SUITE_P(Each, ImmediateRestartTest,
                          ::testing::Combine(::testing::ValuesIn(back_at_once), ::testing::Values(0.0, 0.2)),
                          [](const auto& p) {
                              return std::string(std::get<0>(p.param).name) +
                                     (std::get<1>(p.param) > 0 ? "_with_late_requests" : "");
                          });
 
-TEST(BackAtOnceStories, work_goes_on_where_it_is_when_all_controllers_are_back_at_once) {
+TEST(ImmediateRestartSimulationTest, WorkContinuesInPlaceWhenAllControllersRestartAtOnce) {
     const auto o = play("kind = \"crash\"\nnode = \"all\"\nlasts_s = 0.05\nat_s = 50", 3);
     EXPECT_EQ(broken(o), "");
     EXPECT_EQ(o.lease_kills, 0u);
@@ -247,7 +248,7 @@
 
 // What is damaged ends no process: it is set aside, or put back, wherever it is read, and a controller that begins anew
 // does not come into the same end.
-TEST(LossStories, damaged_records_of_every_kind_end_no_controller) {
+TEST(DataLossSimulationTest, DamagedRecordsOfEveryKindEndNoController) {
     std::string troubles = "kind = \"crash\"\nnode = \"all\"\nlasts_s = 0.2\nat_s = 72";
     double at = 30;
     for (const char* prefix : {"jobs/work/", "jobs/over/", "members/", "lead/", "notes/", "fleet/", "recovery/"})
@@ -259,7 +260,7 @@
 
 // With the version that held late answers against what was known when they came, five of these eight worlds declared a
 // loss (docs/incidents/loss-without-a-loss.md).
-TEST(LossStories, no_false_alarm_when_answers_come_late) {
+TEST(DataLossSimulationTest, DeclaresNoLossWhenResponsesAreDelayed) {
     std::string text = world;
     const std::string warm = "warm = 24\n";
     text.replace(text.find(warm), warm.size(),
@@ -275,7 +276,7 @@
 }
 
 // All controllers end after the records came back, so that only what is on record can answer.
-TEST(LossStories, single_records_come_back_without_closing_anything_and_outlive_all_memories) {
+TEST(DataLossSimulationTest, SingleRecordsAreRestoredWithoutAnOutageAndOutliveAllReplicas) {
     for (const char* prefix : {"jobs/over/run-0", "jobs/work/run-0"}) {
         const auto o =
             play(fmt::format("kind = \"lose\"\nprefix = \"{}\"\nat_s = 50\n[[troubles]]\nkind = \"crash\"\n"
@@ -291,7 +292,7 @@
     }
 }
 
-TEST(LossStories, the_same_seed_gives_the_same_line) {
+TEST(DataLossSimulationTest, SameSeedGivesTheSameResult) {
     const char* troubles =
         "kind = \"set_back\"\nseconds = 9\nat_s = 50\n[[troubles]]\nkind = \"crash\"\nlasts_s = 3\nat_s = 55";
     const auto once = simulator::to_line(play(troubles, 11));
@@ -299,7 +300,7 @@
     EXPECT_NE(once, simulator::to_line(play(troubles, 12)));
 }
 
-TEST(ScenarioStory, what_is_wrong_in_a_scenario_is_named) {
+TEST(ScenarioTest, NamesWhatIsWrongInAScenario) {
     const auto complaint = [](const std::string& text) -> std::string {
         try {
             simulator::parse_scenario(text, "file");
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -90,7 +90,7 @@
 
 // --- the merge ---
 
-TEST(MergeStory, of_a_key_the_newest_value_holds_whoever_has_it) {
+TEST(MergeTest, NewestValueOfAKeyWinsWhicheverSourceHoldsIt) {
     const auto r = merged({source(1, 10, true, {{"jobs/work/run-1", {7, work(1)}}}),
                            source(1, 8, true, {{"jobs/work/run-1", {5, work(0)}}}),
                            source(1, 12, false, {{"jobs/work/run-1", {11, work(2)}}})});
@@ -98,7 +98,7 @@
     EXPECT_TRUE(r.doubts.empty());
 }
 
-TEST(MergeStory, an_outcome_beats_open_work_and_the_work_of_a_cancelled_job_stays_until_its_tasks_are_found) {
+TEST(MergeTest, OutcomeBeatsOpenWorkAndWorkOfACancelledJobStaysUntilItsTasksAreFound) {
     const auto r =
         merged({source(1, 10, true, {{"jobs/work/run-1", {7, work(1)}}, {"jobs/work/run-2", {8, work(1)}}}),
                 source(1, 9, false, {{"jobs/over/run-1", {12, done}}, {"jobs/over/run-2", {13, cancelled}}})});
@@ -108,19 +108,19 @@
     EXPECT_EQ(r.records.at("jobs/over/run-2"), cancelled);
 }
 
-TEST(MergeStory, work_that_was_removed_with_its_job_does_not_come_back_from_an_older_memory) {
+TEST(MergeTest, WorkRemovedWithItsJobDoesNotReturnFromAnOlderReplica) {
     const auto r = merged({source(1, 20, true, {{"jobs/over/run-2", {13, cancelled}}}),
                            source(1, 12, true, {{"jobs/work/run-2", {8, work(1)}}})});
     EXPECT_EQ(r.records.size(), 1u);
 }
 
 // A controller that began after a service was set back knows less, and its revisions grow past what it never saw.
-TEST(MergeStory, what_a_memory_lacks_without_knowing_the_outcome_was_not_removed) {
+TEST(MergeTest, WorkMissingFromAReplicaWithoutAnOutcomeWasNotRemoved) {
     const auto r = merged({source(1, 40, true, {}), source(1, 30, true, {{"jobs/work/run-1", {25, work(3)}}})});
     EXPECT_TRUE(r.records.contains("jobs/work/run-1"));
 }
 
-TEST(MergeStory, an_older_generation_counts_only_where_nobody_knows_all_of_a_newer_one) {
+TEST(MergeTest, OlderGenerationCountsOnlyWithoutACompleteNewerOne) {
     const auto old = source(1, 90, true, {{"jobs/work/run-1", {80, work(5)}}});
     EXPECT_FALSE(merged({old, source(2, 9, true, {})}).records.contains("jobs/work/run-1"));
     const auto r = merged({old, source(2, 9, false, {{"jobs/work/run-2", {3, work(1)}}})});
@@ -128,7 +128,7 @@
     EXPECT_TRUE(r.records.contains("jobs/work/run-2"));
 }
 
-TEST(MergeStory, the_service_adds_what_nobody_knows_and_ends_what_others_believe_to_be_open) {
+TEST(MergeTest, StoreAddsUnknownRecordsAndEndsJobsBelievedOpen) {
     const auto store = source(0, 0, false,
                               {{"jobs/work/run-1", {300, work(9, "n-9")}},
                                {"jobs/over/run-2", {301, done}},
@@ -146,7 +146,7 @@
     EXPECT_FALSE(r.records.contains("jobs/work/run-4")) << "set back, it shows what had long been removed";
 }
 
-TEST(MergeStory, what_is_lost_is_said) {
+TEST(MergeTest, ReportsWhatIsLost) {
     const auto r = merged({source(1, 50, true,
                                   {{"jobs/work/run-1/2", {20, work(4)}},
                                    {"jobs/work/run-2", {21, "7"}},
@@ -159,7 +159,7 @@
 
 // --- the memory ---
 
-TEST(MemoryStory, it_holds_what_was_told_and_what_was_read_whichever_came_first) {
+TEST(RecordReplicaTest, HoldsWatchedAndReadRecordsInEitherOrder) {
     RecordReplica m;
     m.begin(1, "a", 10);
     EXPECT_TRUE(m.told(told(14,
@@ -182,7 +182,7 @@
     EXPECT_FALSE(m.source("me", 11).whole);
 }
 
-TEST(MemoryStory, a_removal_that_nobody_can_have_ordered_is_told_and_not_believed) {
+TEST(RecordReplicaTest, ImpossibleRemovalIsReportedAndNotApplied) {
     RecordReplica m;
     m.begin(1, "a", 0);
     m.page({item("jobs/work/run-1", work(2), 3), item("jobs/over/run-2", done, 4)});
@@ -197,7 +197,7 @@
     EXPECT_TRUE(m.open_jobs().empty());
 }
 
-TEST(MemoryStory, its_own_acknowledged_writes_count_before_they_are_told) {
+TEST(RecordReplicaTest, OwnAcknowledgedWritesCountBeforeTheWatchReportsThem) {
     RecordReplica m;
     m.begin(1, "a", 5);
     m.filled();
@@ -208,7 +208,7 @@
     EXPECT_EQ(m.size(), 1u);
 }
 
-TEST(MemoryStory, an_outcome_is_kept_in_a_few_words_and_comes_back_as_a_record_that_says_the_same) {
+TEST(RecordReplicaTest, CompactOutcomeBecomesAnEquivalentRecord) {
     RecordReplica m;
     m.begin(1, "a", 0);
     auto kept = boost::json::parse(done).as_object();
@@ -226,7 +226,7 @@
     EXPECT_TRUE(m.knows("run-2"));
 }
 
-TEST(MemoryStory, a_reading_shows_what_went_without_a_sign) {
+TEST(RecordReplicaTest, PageShowsSilentlyLostRecords) {
     RecordReplica m;
     m.begin(1, "a", 6);
     m.page(
@@ -246,7 +246,7 @@
 
 // A page that was asked for before a job was accepted cannot show it, however late it comes. The first version took it
 // for lost, and brought the service down for a minute (docs/incidents/loss-without-a-loss.md).
-TEST(MemoryStory, what_became_known_after_a_page_was_asked_for_is_not_missing_from_it) {
+TEST(RecordReplicaTest, RecordsLearnedAfterTheRequestAreNotMissingFromThePage) {
     RecordReplica m;
     m.begin(1, "a", 10);
     m.page({item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)});
@@ -263,7 +263,7 @@
     EXPECT_TRUE(m.missing_from(asked, "", "", page).empty()) << "of another history";
 }
 
-TEST(MemoryStory, a_digest_tells_outcomes_apart_and_does_not_change_with_later_ones) {
+TEST(RecordReplicaTest, DigestDistinguishesOutcomesAndIgnoresLaterOnes) {
     RecordReplica a, b;
     for (auto* m : {&a, &b}) m->begin(1, "a", 0);
     a.page({item("jobs/over/run-1", done, 4), item("jobs/over/run-2", done, 5), item("jobs/over/run-3", done, 9)});
@@ -277,7 +277,7 @@
 
 // --- pages and snapshots ---
 
-TEST(ArchiveStory, a_page_comes_back_whole_or_not_at_all) {
+TEST(ArchiveTest, PageIsDecodedWholeOrNotAtAll) {
     std::vector<wire::ArchivedRecord> records;
     for (int i = 0; i < 300; ++i) records.push_back({"jobs/work/run-" + std::to_string(i), 7u + i, work(i)});
     const auto bytes = wire::encode_archive(records);
@@ -295,7 +295,7 @@
     EXPECT_THROW(wire::decode_archive_text("no page"), wire::DecodeError);
 }
 
-TEST(SnapshotFileStory, every_torn_prefix_of_a_snapshot_leaves_the_former_one) {
+TEST(SnapshotFileTest, TornSnapshotLeavesThePreviousOne) {
     TemporaryDirectory dir;
     recovery::SnapshotFile snapshot_file(dir.path);
     EXPECT_FALSE(snapshot_file.newest());
@@ -323,7 +323,7 @@
     EXPECT_EQ(snapshot_file.newest()->records, two.records);
 }
 
-TEST(SnapshotFileStory, two_generations_are_kept_and_a_directory_that_cannot_be_written_harms_nothing) {
+TEST(SnapshotFileTest, KeepsTwoGenerationsAndSurvivesAnUnwritableDirectory) {
     TemporaryDirectory dir;
     recovery::SnapshotFile snapshot_file(dir.path);
     for (std::uint64_t n = 1; n <= 5; ++n) ASSERT_TRUE(snapshot_file.put(source(n / 3, n, true, {})));
@@ -339,7 +339,7 @@
 
 namespace {
 
-struct GuardStory : ::testing::Test {
+struct GuardedStoreTest : ::testing::Test {
     net::asio::io_context io;
     FakeStore inner;
     std::vector<std::string> doubts;
@@ -383,7 +383,7 @@
 
 }  // namespace
 
-TEST_F(GuardStory, while_it_is_closed_nothing_of_jobs_is_written_or_told_and_the_rest_goes_on) {
+TEST_F(GuardedStoreTest, ClosedGuardBlocksJobRecordsOnly) {
     EXPECT_EQ(put("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(ask("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(run(store.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::refused);
@@ -393,7 +393,7 @@
     EXPECT_TRUE(doubts.empty());
 }
 
-TEST_F(GuardStory, under_another_marker_nothing_is_carried_out_and_the_guard_closes) {
+TEST_F(GuardedStoreTest, DifferentMarkerPreventsTheTransactionAndClosesTheGuard) {
     store.open(make_marker());
     EXPECT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
     EXPECT_EQ(written.at("jobs/work/run-1"), inner.keys.revision());
@@ -405,7 +405,7 @@
 }
 
 // The proof that a job was never accepted: the records of both keys are absent, and so is the marker.
-TEST_F(GuardStory, forgotten_a_wiped_service_does_not_prove_that_there_is_no_such_job) {
+TEST_F(GuardedStoreTest, WipedStoreDoesNotProveThatAJobNeverExisted) {
     store.open(make_marker());
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
     inner.keys = Keys();
@@ -413,7 +413,7 @@
     EXPECT_EQ(doubts.size(), 1u);
 }
 
-TEST_F(GuardStory, an_answer_under_a_lower_revision_is_no_answer_though_the_marker_is_the_same) {
+TEST_F(GuardedStoreTest, ResponseUnderALowerRevisionIsDiscarded) {
     store.open(make_marker());
     const auto copy = inner.keys;
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
@@ -425,7 +425,7 @@
     EXPECT_EQ(run(store.get("jobs/work/run-3", state::RequestPriority::user)).outcome, Outcome::refused);
 }
 
-TEST_F(GuardStory, no_alarm_by_conflicts_refusals_lost_answers_or_what_was_sent_before_the_opening) {
+TEST_F(GuardedStoreTest, NoFalseAlarmByConflictsRefusalsLostResponsesOrEarlierRequests) {
     store.open(make_marker());
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
     EXPECT_EQ(put("jobs/work/run-1").outcome, Outcome::conflict);
@@ -442,7 +442,7 @@
 // What is remembered when something is asked holds for the answer; what becomes known meanwhile does not.
 namespace {
 
-struct MissedStory : GuardStory {
+struct MissingRecordTest : GuardStory {
     std::map<std::string, std::uint64_t> remembered;
     std::vector<std::string> missed;
     state::GuardedStore guard{
@@ -475,7 +475,7 @@
 
 }  // namespace
 
-TEST_F(MissedStory, that_a_remembered_job_is_not_on_record_is_looked_into_and_told_to_nobody) {
+TEST_F(MissingRecordTest, MissingKnownJobIsCheckedAndNotReported) {
     EXPECT_EQ(neither("run-1").outcome, Outcome::ok);
     remembered["jobs/work/run-1"] = 1;
     EXPECT_EQ(neither("run-1").outcome, Outcome::refused);
@@ -484,12 +484,12 @@
     EXPECT_TRUE(guard.is_open()) << "others are served";
 }
 
-TEST_F(MissedStory, that_a_job_is_not_on_record_yet_which_was_accepted_meanwhile_is_no_sign_of_anything) {
+TEST_F(MissingRecordTest, JobAcceptedMeanwhileIsNoSignOfLoss) {
     EXPECT_EQ(neither("run-1", false).outcome, Outcome::ok);
     EXPECT_TRUE(missed.empty());
 }
 
-TEST_F(MissedStory, work_may_be_removed_where_there_is_an_outcome_and_an_outcome_never) {
+TEST_F(MissingRecordTest, WorkMayBeRemovedBesideAnOutcomeAndAnOutcomeNever) {
     state::Txn txn;
     txn.changes.push_back({"jobs/over/run-1", boost::json::parse(done), 0});
     const auto mod_revision = inner.keys.commit(txn).revision;
@@ -508,7 +508,7 @@
 }
 
 // Else a placement would be written for a job whose cancellation was lost.
-TEST_F(MissedStory, nothing_is_written_on_the_condition_that_something_remembered_be_absent) {
+TEST_F(MissingRecordTest, NoWriteIsSentOnTheAbsenceOfAKnownRecord) {
     remembered["jobs/over/run-1"] = 1;
     state::Txn txn;
     txn.conditions.push_back({"jobs/over/run-1", 0});
@@ -523,7 +523,7 @@
 
 namespace {
 
-struct InquiryStory : ::testing::Test {
+struct ConsistencyCheckTest : ::testing::Test {
     net::asio::io_context io;
     FakeStore store;
     RecordReplica replica;
@@ -557,7 +557,7 @@
 
 }  // namespace
 
-TEST_F(InquiryStory, what_is_there_or_newer_or_was_removed_after_its_end_is_sound) {
+TEST_F(ConsistencyCheckTest, PresentNewerOrProperlyRemovedRecordsAreSound) {
     EXPECT_EQ(look("jobs/work/run-1").verdict, Verdict::sound);
     EXPECT_EQ(look("jobs/over/run-2").verdict, Verdict::sound);
     EXPECT_EQ(look("jobs/work/run-7").verdict, Verdict::sound) << "nobody remembers it";
@@ -568,7 +568,7 @@
     EXPECT_EQ(look("jobs/work/run-1").verdict, Verdict::sound);
 }
 
-TEST_F(InquiryStory, what_is_gone_or_older_or_damaged_is_found_with_the_stamp_it_has_now) {
+TEST_F(ConsistencyCheckTest, MissingOlderOrDamagedRecordsAreFoundWithTheirPresentRevision) {
     const auto copy = store.keys;
     put("jobs/work/run-1", work(5));
     replica.told(told(store.keys.revision(), store.keys.range("jobs/work/"), {false}));
@@ -591,13 +591,13 @@
 namespace {
 
 // One that plays on a service in memory, under a virtual time.
-struct RecoveryCoordinatorStory : ::testing::Test {
+struct RecoveryCoordinatorTest : ::testing::Test {
     model::TimePoint now{std::chrono::seconds(1000)};
-    RecoveryCoordinatorStory() {
+    RecoveryCoordinatorTest() {
         model::Clock::simulated = &now;
         service.quiet_watches = true;
     }
-    ~RecoveryCoordinatorStory() override { model::Clock::simulated = nullptr; }
+    ~RecoveryCoordinatorTest() override { model::Clock::simulated = nullptr; }
 
     FakeStore service;
     config::Settings cluster = settings();
@@ -642,7 +642,7 @@
 // A controller was out of reach while the others rebuilt, and alone remembers a job that it accepted. What the service
 // refused of that was never tried again; and the others were certain that the job never was as soon as this one was
 // heard, before it had added anything.
-TEST_F(RecoveryCoordinatorStory, forgotten_what_only_one_remembers_is_added_however_often_that_is_refused) {
+TEST_F(RecoveryCoordinatorTest, RecordKnownToOneReplicaOnlyIsAddedDespiteRefusals) {
     net::asio::co_spawn(io, recovery.run(), net::asio::detached);
     pass(10);
     ASSERT_TRUE(recovery.ready());
@@ -680,7 +680,7 @@
 
 // --- what the leader makes of rebuilt records ---
 
-TEST(UnsettledStory, nothing_is_placed_before_every_machine_on_a_young_list_was_heard) {
+TEST(ReconciliationTest, NothingIsPlacedBeforeEveryMachineOnAFreshListReported) {
     SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
@@ -705,7 +705,7 @@
     EXPECT_FALSE(w.leader->unsettled());
 }
 
-TEST(UnsettledStory, a_machine_that_is_still_starting_after_this_term_began_can_hold_nothing) {
+TEST(ReconciliationTest, MachineStillBootingAfterTheTermBeganHoldsNothing) {
     SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
@@ -732,7 +732,7 @@
     EXPECT_FALSE(w.leader->unsettled());
 }
 
-TEST(UnsettledStory, a_job_waits_only_for_machines_that_its_tasks_may_be_on) {
+TEST(ReconciliationTest, JobWaitsOnlyForMachinesThatMayHoldItsTasks) {
     SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
@@ -759,7 +759,7 @@
     EXPECT_TRUE(w.leader->rent(w.now).empty());
 }
 
-TEST(UnsettledStory, ran_twice_a_later_attempt_that_a_worker_shows_is_where_the_task_is) {
+TEST(ReconciliationTest, LaterAttemptShownByAWorkerIsWhereTheTaskRuns) {
     SchedulerHarness w;
     w.elect();
     w.accept(job("run-1", model::JobKind::array, 3));
@@ -794,7 +794,7 @@
     EXPECT_EQ(w.machine_of("run-1", 2), m.name);
 }
 
-TEST(UnsettledStory, tasks_of_a_job_that_nobody_knows_are_stopped_and_waited_for) {
+TEST(ReconciliationTest, OrphanedTasksAreStoppedAndWaitedFor) {
     SchedulerHarness w;
     w.elect();
     w.leader->distrust_records();
@@ -816,7 +816,7 @@
     EXPECT_TRUE(w.leader->loss_seen() == false);
 }
 
-TEST(UnsettledStory, an_attempt_above_the_one_on_record_is_a_sign_of_loss_and_nothing_else_is) {
+TEST(ReconciliationTest, OnlyAnAttemptAboveTheRecordedOneIndicatesLoss) {
     SchedulerHarness w;
     w.elect();
     w.accept(job("run-1", model::JobKind::array, 1));
@@ -839,7 +839,7 @@
     EXPECT_FALSE(w.leader->loss_seen()) << "it is told once";
 }
 
-TEST(TermStory, a_term_is_above_the_time_of_day_so_that_no_lost_one_comes_again) {
+TEST(TermNumberTest, TermExceedsTheTimeOfDaySoThatNoLostTermReturns) {
     net::asio::io_context io;
     FakeStore store;
     std::vector<election::Term> won;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -21,10 +21,10 @@
 constexpr std::uint64_t relay_incarnation = 7, leader_incarnation = 40, term = 5;
 
 // A relay, and the messages that it sends; whoever leads is played by the story.
-struct RelayStory : ::testing::Test {
+struct HeartbeatRelayTest : ::testing::Test {
     TimePoint now{std::chrono::seconds(1000)};
     const bool simulated = (model::Clock::simulated = &now) != nullptr;
-    ~RelayStory() override { model::Clock::simulated = nullptr; }
+    ~HeartbeatRelayTest() override { model::Clock::simulated = nullptr; }
 
     net::asio::io_context io;
     config::Settings cluster = settings();
@@ -101,7 +101,7 @@
 
 }  // namespace
 
-TEST_F(RelayStory, a_report_that_says_nothing_new_costs_a_few_bytes_and_is_heard_as_it_is) {
+TEST_F(HeartbeatRelayTest, UnchangedHeartbeatIsRelayedInAFewBytes) {
     relay.follow(leads("one"));
     peer::RelayedHeartbeatCache kept;
     const auto first = ask(report("n-1", 10, 200));
@@ -124,7 +124,7 @@
 }
 
 // Two reports of one worker under way, the later one a copy of what it held long ago.
-TEST_F(RelayStory, ran_twice_a_late_copy_is_not_what_the_next_report_repeats) {
+TEST_F(HeartbeatRelayTest, LateCopyIsNotWhatTheNextHeartbeatRepeats) {
     relay.follow(leads("one"));
     peer::RelayedHeartbeatCache kept;
     ask(report("n-1", 10, 3));
@@ -143,7 +143,7 @@
     for (const auto& r : message.reports) EXPECT_EQ(r.report.tasks.size(), 3u);
 }
 
-TEST_F(RelayStory, a_report_that_came_after_a_newer_one_is_not_kept_in_its_place) {
+TEST_F(HeartbeatRelayTest, HeartbeatThatArrivesAfterANewerOneIsNotCached) {
     peer::RelayedHeartbeatCache kept;
     kept.keep("two", relay_incarnation, {9, 1, report("n-1", 12, 3)});
     kept.keep("two", relay_incarnation, {8, 1, report("n-1", 11, 0)});
@@ -153,7 +153,7 @@
     EXPECT_FALSE(kept.repeated("two", relay_incarnation, {11, 1, 14, 8}));
 }
 
-TEST_F(RelayStory, what_the_leader_does_not_know_is_sent_in_full) {
+TEST_F(HeartbeatRelayTest, HeartbeatUnknownToTheLeaderIsSentInFull) {
     relay.follow(leads("one"));
     ask(report("n-1", 10, 2));
     says("one", answer(full()));
@@ -170,7 +170,7 @@
     EXPECT_TRUE(again->answer);
 }
 
-TEST_F(RelayStory, reports_under_way_go_to_the_next_leader_and_the_old_ones_answers_count_no_more) {
+TEST_F(HeartbeatRelayTest, PendingHeartbeatsGoToTheNextLeaderAndOldResponsesAreIgnored) {
     relay.follow(leads("one"));
     const auto waiting = ask(report("n-1", 10, 2));
     const auto number = full();
@@ -186,7 +186,7 @@
     EXPECT_EQ(waiting->answer->fencing_token, term + 1);
 }
 
-TEST_F(RelayStory, an_answer_of_a_term_that_is_overtaken_is_not_passed_on) {
+TEST_F(HeartbeatRelayTest, ResponseOfASupersededTermIsNotForwarded) {
     relay.follow(leads("one"));
     const auto overtaken = ask(report("n-1", 10, 2));
     says("one", answer(full()), term + 1);
@@ -202,7 +202,7 @@
     EXPECT_TRUE(newer->answer);
 }
 
-TEST_F(RelayStory, an_answer_that_is_held_past_the_workers_patience_reaches_nobody) {
+TEST_F(HeartbeatRelayTest, ResponseDelayedBeyondTheWorkersTimeoutReachesNobody) {
     relay.follow(leads("one"));
     const auto late = ask(report("n-1", 10, 2));
     const auto number = full();
@@ -215,7 +215,7 @@
     EXPECT_EQ(relay.waiting(), 1u);
 }
 
-TEST_F(RelayStory, cut_from_the_leader_it_keeps_trying_while_the_worker_waits_and_forgets_nothing_afterwards) {
+TEST_F(HeartbeatRelayTest, KeepsTryingWhileCutOffFromTheLeaderAndForgetsNothing) {
     relay.follow(leads("one"));
     link_up = false;
     const auto waiting = ask(report("n-1", 10, 2));
@@ -235,7 +235,7 @@
     EXPECT_TRUE(waiting->answer);
 }
 
-TEST_F(RelayStory, more_than_there_are_sockets_are_refused_at_once) {
+TEST_F(HeartbeatRelayTest, RefusesMoreHeartbeatsThanSocketsAllow) {
     cluster.max_sockets = 3;
     relay.follow(leads("one"));
     std::vector<std::shared_ptr<Told>> all;
@@ -245,7 +245,7 @@
     EXPECT_FALSE(all[3]->answer);
 }
 
-TEST_F(RelayStory, many_reports_of_one_moment_share_a_message) {
+TEST_F(HeartbeatRelayTest, HeartbeatsOfOneMomentShareAMessage) {
     relay.follow(leads("one"));
     for (int i = 0; i < 50; ++i)
         net::asio::co_spawn(io, relay.relay(report("n-" + std::to_string(i), 1, 5)), net::asio::detached);
@@ -254,7 +254,7 @@
     EXPECT_EQ(sent[1].second.reports.size(), 49u);
 }
 
-TEST(RelayMessage, nonsense_is_an_error_and_an_old_version_says_that_it_takes_no_part) {
+TEST(RelayMessageTest, InvalidMessageIsAnErrorAndAnOldVersionTakesNoPart) {
     EXPECT_THROW(peer::decode_relay("nonsense"), std::exception);
     peer::StatusMessage status;
     status.member = "one";
@@ -272,11 +272,11 @@
 
 namespace {
 
-struct AssignmentStory : ::testing::Test {
+struct WorkerAssignmentTest : ::testing::Test {
     TimePoint now{std::chrono::seconds(1000)};
     config::Settings cluster = settings();
     config::Tunables tunables;
-    AssignmentStory() {
+    WorkerAssignmentTest() {
         cluster.max_sockets = 464;  // 400 but for its own, and 300 of them for workers
         cluster.peers = {{"two", "a", {}}, {"three", "b", {}}};
     }
@@ -289,7 +289,7 @@
 
 }  // namespace
 
-TEST_F(AssignmentStory, one_leader_that_is_enough_has_all_workers_as_before) {
+TEST_F(WorkerAssignmentTest, SufficientLeaderServesAllWorkers) {
     app::WorkerAssignment assignment(cluster, tunables);
     assignment.heard("two", leader(0, 290), now);
     for (int i = 0; i < 290; ++i) EXPECT_EQ(assignment.at_follower(machine(i), "a", "two", now), "two");
@@ -297,7 +297,7 @@
     EXPECT_EQ(assignment.workers(now), 0u);
 }
 
-TEST_F(AssignmentStory, a_leader_that_is_full_sends_newcomers_to_the_least_loaded_of_their_zone_first) {
+TEST_F(WorkerAssignmentTest, FullLeaderSendsNewcomersToTheLeastLoadedPeerOfTheirZoneFirst) {
     app::WorkerAssignment assignment(cluster, tunables);
     for (int i = 0; i < 300; ++i) ASSERT_FALSE(assignment.at_leader(machine(i), "a", now)) << "there is nobody else";
     assignment.heard("two", follower(100), now);
@@ -311,7 +311,7 @@
     EXPECT_FALSE(assignment.at_leader(machine(302), "a", now));
 }
 
-TEST_F(AssignmentStory, workers_that_are_too_many_go_one_by_one) {
+TEST_F(WorkerAssignmentTest, SurplusWorkersLeaveOneByOne) {
     app::WorkerAssignment assignment(cluster, tunables);
     for (int i = 0; i < 400; ++i) ASSERT_FALSE(assignment.at_leader(machine(i), "a", now));
     assignment.heard("two", follower(0), now);
@@ -324,7 +324,7 @@
     EXPECT_EQ(gone, 2);
 }
 
-TEST_F(AssignmentStory, what_the_leader_has_room_for_is_shared_until_it_tells_more) {
+TEST_F(WorkerAssignmentTest, LeadersRoomIsSharedUntilItReportsMore) {
     app::WorkerAssignment assignment(cluster, tunables);
     assignment.heard("two", leader(260, 5000), now);
     int sent = 0;
@@ -335,7 +335,7 @@
     EXPECT_FALSE(assignment.at_follower(machine(150), "a", "two", now));
 }
 
-TEST_F(AssignmentStory, a_worker_that_does_not_reach_the_leader_is_served_where_it_is_back) {
+TEST_F(WorkerAssignmentTest, WorkerThatCannotReachTheLeaderIsServedWhereItReturns) {
     app::WorkerAssignment assignment(cluster, tunables);
     assignment.heard("two", leader(100, 5000), now);
     EXPECT_EQ(assignment.at_follower(machine(1), "a", "two", now), "two");
@@ -346,7 +346,7 @@
     EXPECT_FALSE(assignment.serves(machine(1)) && assignment.workers(now) == 0u);
 }
 
-TEST_F(AssignmentStory, bounds_follow_from_the_limits_on_sockets_and_processor_time) {
+TEST_F(WorkerAssignmentTest, BoundsFollowFromSocketAndCpuLimits) {
     EXPECT_EQ(app::WorkerAssignment(cluster, tunables).capacity(true), 300u);
     cluster.core_share = 0.002;  // of a core: some 17 reports a second
     const auto few = app::WorkerAssignment(cluster, tunables).capacity(true);
@@ -445,33 +445,33 @@
 
 }  // namespace
 
-TEST(Relayed, relays_that_end_with_reports_under_way) {
+TEST(RelaySimulationTest, RelaysEndWithPendingHeartbeats) {
     relayed(trouble("crash", 40, 2, "node = \"follower\"\ntimes = 5\nevery_s = 7"));
 }
 
-TEST(Relayed, the_leader_ends_and_its_relays_go_to_the_next_one) {
+TEST(RelaySimulationTest, LeaderEndsAndItsRelaysFollowTheNextOne) {
     relayed(trouble("crash", 40, 3, "node = \"leader\"\ntimes = 4\nevery_s = 15"));
 }
 
-TEST(Relayed, relays_cut_from_the_leader_and_not_from_workers) {
+TEST(RelaySimulationTest, RelaysAreCutOffFromTheLeaderButNotFromWorkers) {
     relayed(trouble("cut_peers", 40, 25, "node = \"leader\"") + trouble("cut_peers", 90, 12, "node = \"follower\""));
 }
 
-TEST(Relayed, reports_and_answers_held_for_longer_than_workers_wait) {
+TEST(RelaySimulationTest, HeartbeatsAndResponsesAreDelayedBeyondTheWorkersTimeout) {
     relayed(trouble("held", 30, 60, "share = 0.3\nseconds = 9") + trouble("freeze", 100, 5, "node = \"follower\""));
 }
 
-TEST(Relayed, ran_twice_old_copies_of_reports_come_through_any_relay) {
+TEST(RelaySimulationTest, OldCopiesOfHeartbeatsArriveThroughAnyRelay) {
     relayed(trouble("late_reports", 20, 100, "share = 0.5") +
             trouble("crash", 50, 1, "node = \"leader\"\ntimes = 3\nevery_s = 20"));
 }
 
-TEST(Relayed, ran_cancelled_work_is_called_off_while_its_workers_relay_changes) {
+TEST(RelaySimulationTest, WorkIsCancelledWhileItsWorkersChangeRelays) {
     relayed(trouble("cancel_now", 60, 0, "share = 8\nseconds = 20") +
             trouble("crash", 60, 4, "node = \"followers\"\ntimes = 2\nevery_s = 8"));
 }
 
-TEST(Relayed, an_outage_in_which_the_leader_ends) {
+TEST(RelaySimulationTest, LeaderEndsDuringAnOutage) {
     relayed(trouble("outage", 50, 15, "") + trouble("crash", 52, 3, "node = \"leader\""));
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -22,7 +22,7 @@
     return w;
 }
 
-struct Story : ::testing::Test, SchedulerHarness {
+struct SchedulerTest : ::testing::Test, SchedulerHarness {
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "b");
 
     // Two reports: the first makes a worker see the term, the second counts for what it lacks.
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-TEST_F(Story, ran_twice_a_silent_machines_task_starts_elsewhere_only_after_its_release) {
+TEST_F(SchedulerTest, SilentMachinesTaskStartsElsewhereOnlyAfterItsRelease) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
@@ -81,7 +81,7 @@
     EXPECT_FALSE(leader->report(m1.report(), now)) << "a late report of a released machine is not believed";
 }
 
-TEST_F(Story, ran_twice_the_next_leader_finds_the_intent_of_one_that_died_before_its_run) {
+TEST_F(SchedulerTest, NextLeaderFindsTheIntentOfOneThatDiedBeforeItsRunCommand) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -98,7 +98,7 @@
     EXPECT_EQ(next.count("run-1")->done, 0u);
 }
 
-TEST_F(Story, ran_twice_no_run_leaves_before_its_intent_is_on_record) {
+TEST_F(SchedulerTest, NoRunCommandLeavesBeforeItsIntentIsOnRecord) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -109,7 +109,7 @@
     EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
-TEST_F(Story, ran_twice_an_old_leader_cannot_record_a_placement) {
+TEST_F(SchedulerTest, OldLeaderCannotRecordAPlacement) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -122,7 +122,7 @@
     EXPECT_TRUE(keys.get("jobs/work/run-1").value.as_object().at("tasks").as_array().empty());
 }
 
-TEST_F(Story, ran_twice_a_lost_answer_is_repeated_and_a_late_report_ignored) {
+TEST_F(SchedulerTest, LostResponseIsRepeatedAndALateHeartbeatIgnored) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -137,7 +137,7 @@
     EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
-TEST_F(Story, ran_twice_a_new_session_is_evidence) {
+TEST_F(SchedulerTest, NewIncarnationIsEvidenceThatTasksAreGone) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     m1.lose_lease();
@@ -147,7 +147,7 @@
     EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
 }
 
-TEST_F(Story, quota_tasks_on_silent_machines_still_count) {
+TEST_F(SchedulerTest, TasksOnSilentMachinesStillCountAgainstTheQuota) {
     elect();
     auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
     first.team = "limited";
@@ -168,7 +168,7 @@
 
 // Found by the lab: a leader that gives up a placement before its `run` was carried out tells the record some seconds
 // later, and puts another task in its place at once. If it ends in between, the next one reads of both.
-TEST_F(Story, quota_what_was_given_up_before_it_ran_is_not_started_by_a_leader_that_reads_of_it) {
+TEST_F(SchedulerTest, AbandonedPlacementIsNotStartedByTheNextLeader) {
     elect();
     auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
     first.team = "limited";
@@ -210,7 +210,7 @@
 
 // Found by the lab, seed 6027: the process ended. One member of a gang was heard to be done, the other was lost with
 // its worker's session before it could tell.
-TEST_F(Story, a_gang_of_which_one_member_is_known_to_be_done_places_only_the_others_again) {
+TEST_F(SchedulerTest, GangWithADoneMemberPlacesOnlyTheOthersAgain) {
     elect();
     accept(job("run-1", JobKind::gang, 2));
     state::Txn txn;
@@ -232,7 +232,7 @@
     }
 }
 
-TEST_F(Story, wrong_place_a_spread_job_counts_tasks_that_linger) {
+TEST_F(SchedulerTest, SpreadJobCountsLingeringTasks) {
     elect();
     auto third = machine("n-000003", "a");
     auto spread = job("run-1", JobKind::service, 2);
@@ -248,7 +248,7 @@
     EXPECT_EQ(machine_of("run-1", in_b), "");
 }
 
-TEST_F(Story, wrong_place_a_one_zone_job_stays_where_its_lingering_tasks_are) {
+TEST_F(SchedulerTest, OneZoneJobStaysWhereItsLingeringTasksAre) {
     elect();
     auto together = job("run-1", JobKind::array, 3);
     together.one_zone = true;
@@ -261,7 +261,7 @@
     }
 }
 
-TEST_F(Story, wrong_place_only_allowed_types_zones_and_kinds_are_used) {
+TEST_F(SchedulerTest, OnlyAllowedTypesZonesAndSpotKindsAreUsed) {
     elect();
     auto picky = job("run-1", JobKind::array, 1);
     picky.zone = "b";
@@ -278,7 +278,7 @@
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
 }
 
-TEST_F(Story, ran_cancelled_tasks_are_killed_and_intents_never_run) {
+TEST_F(SchedulerTest, CancelledTasksAreKilledAndIntentsNeverRun) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
@@ -298,7 +298,7 @@
     EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "nothing of a cancelled job stays open";
 }
 
-TEST_F(Story, ran_cancelled_a_placement_is_not_recorded_for_a_job_cancelled_elsewhere) {
+TEST_F(SchedulerTest, NoPlacementIsRecordedForAJobCancelledElsewhere) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -308,7 +308,7 @@
     EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
-TEST_F(Story, ran_cancelled_a_leader_cut_off_from_the_state_service_falls_silent_in_time) {
+TEST_F(SchedulerTest, LeaderCutOffFromTheStoreStopsAnsweringInTime) {
     const auto known = now;
     const auto room = settings.cancel - settings.lease;  // a task dies a lease after the last answer
     EXPECT_TRUE(scheduler::may_answer(settings, known + 10s, known));
@@ -318,7 +318,7 @@
 
 // Found by the lab: a machine hung, the state service was away, and the leader that came after the outage counted the
 // time from its own first second. A machine that hangs does not end its work when its lease has run out.
-TEST_F(Story, ran_cancelled_a_late_leader_gives_up_a_hanging_machine_before_the_time_of_the_one_before_is_over) {
+TEST_F(SchedulerTest, LateLeaderGivesUpAHangingMachineBeforeTheDeadline) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
@@ -332,7 +332,7 @@
     EXPECT_EQ(returns(), std::vector<std::string>{m1.name});
 }
 
-TEST_F(Story, ran_cancelled_an_unreachable_machine_with_cancelled_work_is_released_in_time) {
+TEST_F(SchedulerTest, UnreachableMachineWithCancelledWorkIsReleasedInTime) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     std::vector<Worker> others;
@@ -354,7 +354,7 @@
 
 // One call of the cloud takes a hundred machines, and in an outage only those with cancelled work may be named. Found
 // on the day of the first meeting: 250 machines hung, and those with cancelled work came after a hundred others.
-TEST_F(Story, ran_cancelled_hundreds_of_silent_machines_do_not_keep_one_with_cancelled_work_waiting) {
+TEST_F(SchedulerTest, HundredsOfSilentMachinesDoNotDelayOneWithCancelledWork) {
     elect();
     auto last = machine("n-900000", "a");
     start(job("run-1", JobKind::array, 1), {&last});
@@ -382,7 +382,7 @@
 
 // Found by scenarios/meeting.toml, seed 1738: the first report that a new leader hears of a machine is a copy from an
 // earlier session.
-TEST_F(Story, ran_twice_a_copy_of_a_report_from_an_earlier_session_is_no_evidence_of_a_later_one) {
+TEST_F(SchedulerTest, CopyOfAHeartbeatFromAnEarlierIncarnationIsNoEvidence) {
     elect();
     meet(m1);
     const auto copy = m1.report();
@@ -403,7 +403,7 @@
 
 // A write that got no answer may be carried out after newer ones of the same leader, which the term alone does not
 // order.
-TEST_F(Story, ran_twice_a_late_write_of_the_same_term_does_not_undo_a_newer_one) {
+TEST_F(SchedulerTest, LateWriteOfTheSameTermDoesNotUndoANewerOne) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -424,7 +424,7 @@
 }
 
 // It may also come first, between the reading again and the next try: that one fails then, reads, and holds.
-TEST_F(Story, ran_twice_a_late_write_that_comes_before_the_next_try_is_read_again) {
+TEST_F(SchedulerTest, LateWriteBeforeTheNextTryIsReadAgain) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -448,7 +448,7 @@
 
 // The call may go unanswered, and the state service be away by then: that the machine holds cancelled work is still
 // why.
-TEST_F(Story, ran_cancelled_a_release_that_was_not_answered_is_asked_for_again_for_the_same_reason) {
+TEST_F(SchedulerTest, UnansweredReleaseIsRequestedAgainForTheSameReason) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
@@ -465,7 +465,7 @@
 }
 
 // Nobody knows whether a machine with a notice is gone when it falls silent; it may as well hang.
-TEST_F(Story, ran_cancelled_a_machine_that_was_to_be_taken_and_fell_silent_is_returned_for_its_cancelled_work) {
+TEST_F(SchedulerTest, SilentMachineWithATerminationNoticeIsReleasedForItsCancelledWork) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
@@ -478,7 +478,7 @@
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
 }
 
-TEST_F(Story, not_done_a_job_is_done_only_when_its_last_task_is) {
+TEST_F(SchedulerTest, JobIsDoneOnlyWhenItsLastTaskIs) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
@@ -500,7 +500,7 @@
 }
 
 // The watch that tells of new jobs shows our own writes as well, and may show them late.
-TEST_F(Story, ran_twice_a_late_word_of_its_record_does_not_bring_a_job_back) {
+TEST_F(SchedulerTest, LateReadOfItsRecordDoesNotBringAJobBack) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     const auto written = keys.get("jobs/work/run-1");
@@ -523,7 +523,7 @@
     EXPECT_EQ(keys.get("jobs/work/run-1").mod_revision, 0u);
 }
 
-TEST_F(Story, went_back_a_cancel_and_the_last_done_race_and_one_of_them_wins) {
+TEST_F(SchedulerTest, CancellationAndLastExitRaceAndOneWins) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
@@ -541,7 +541,7 @@
     EXPECT_EQ(state_of("run-2"), "done");
 }
 
-TEST_F(Story, forgotten_a_worker_forgets_an_outcome_only_once_it_is_on_record) {
+TEST_F(SchedulerTest, WorkerForgetsAnOutcomeOnlyOnceItIsOnRecord) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
@@ -556,7 +556,7 @@
 }
 
 // With thousands of tasks ending all the time, a write for each would leave none for users and placements.
-TEST_F(Story, state_ended_tasks_share_a_write_and_the_last_one_is_written_at_once) {
+TEST_F(SchedulerTest, FinishedTasksShareAWriteAndTheLastOneIsWrittenAtOnce) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
@@ -568,7 +568,7 @@
     EXPECT_EQ(state_of("run-1"), "done");
 }
 
-TEST_F(Story, forgotten_accepted_work_outlives_every_controller) {
+TEST_F(SchedulerTest, AcceptedWorkOutlivesEveryController) {
     accept(job("run-1", JobKind::array, 1));  // no leader was there to hear of it
     elect();
     settle();
@@ -578,7 +578,7 @@
 }
 
 // In a large fleet some machine is always gone; to wait the whole round for it cost every hand-over seconds.
-TEST_F(Story, leader_a_new_one_places_when_nearly_all_machines_with_work_have_reported) {
+TEST_F(SchedulerTest, NewLeaderPlacesWhenNearlyAllMachinesWithWorkHaveReported) {
     elect();
     auto whole = job("run-1", JobKind::array, 20);
     whole.need = {8, 2, 40};
@@ -600,7 +600,7 @@
 }
 
 // Commands travel in answers only. Where a report makes room, its own answer may still carry the next run.
-TEST_F(Story, report_an_answer_that_waits_carries_what_was_placed_meanwhile_unless_a_newer_report_came) {
+TEST_F(SchedulerTest, DelayedResponseCarriesNewPlacementsUnlessANewerHeartbeatCame) {
     using Prospect = scheduler::Scheduler::Prospect;
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});  // fills the machine
@@ -623,7 +623,7 @@
     EXPECT_EQ(leader->prospect(newer, passes), Prospect::nothing) << "the newer report's answer has it";
 }
 
-TEST_F(Story, report_a_waiting_answer_carries_no_run_of_a_job_cancelled_meanwhile) {
+TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -637,7 +637,7 @@
 }
 
 // A leader that had just begun took the machines of the start for long spare, and returned 66 before the first job.
-TEST_F(Story, fleet_spare_machines_go_only_after_they_were_spare_for_a_while_under_this_leader) {
+TEST_F(SchedulerTest, SpareMachinesGoOnlyAfterBeingSpareForAWhileUnderThisLeader) {
     elect();
     std::vector<Worker> workers;
     for (int i = 0; i < 20; ++i)
@@ -664,7 +664,7 @@
 }
 
 // An image may take minutes where there is room, and seconds to stop a task that saves where the image is.
-TEST_F(Story, preempt_a_critical_replica_takes_the_place_of_an_array_task_where_its_image_is) {
+TEST_F(SchedulerTest, CriticalReplicaPreemptsAnArrayTaskWhereItsImageIs) {
     fill_with_image();
     ASSERT_EQ(machine_of("run-2", 0), "n-000001");
     meet(m2);
@@ -677,7 +677,7 @@
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
 }
 
-TEST_F(Story, preempt_a_replica_goes_where_there_is_room_when_none_was_made_in_time) {
+TEST_F(SchedulerTest, ReplicaGoesElsewhereWhenNoRoomWasMadeInTime) {
     fill_with_image();
     meet(m2);
     accept(replica("run-3"));
@@ -689,7 +689,7 @@
     EXPECT_EQ(machine_of("run-3", 0), "n-000002");
 }
 
-TEST_F(Story, gang_a_task_lost_before_the_start_is_replaced_under_the_same_attempt) {
+TEST_F(SchedulerTest, GangTaskLostBeforeTheStartIsReplacedUnderTheSameAttempt) {
     elect();
     auto third = machine("n-000003", "b");
     auto gang = job("run-1", JobKind::gang, 2);
@@ -710,7 +710,7 @@
     EXPECT_EQ(tasks[1].attempt, 1u);
 }
 
-TEST_F(Story, gang_a_new_attempt_waits_until_the_old_one_is_gone) {
+TEST_F(SchedulerTest, NewGangAttemptWaitsUntilTheOldOneIsGone) {
     elect();
     auto third = machine("n-000003", "a");
     auto gang = job("run-1", JobKind::gang, 2);
@@ -731,7 +731,7 @@
 
 // On slow networks some members of a gang have their image a minute before others. Killing the whole attempt when the
 // first gave up waiting cost the slow ones their fetch, time and again: 350 s until a gang started.
-TEST_F(Story, gang_a_member_that_gave_up_waiting_keeps_its_place_until_the_others_have_their_image) {
+TEST_F(SchedulerTest, GangMemberThatGaveUpWaitingKeepsItsPlaceUntilOthersHaveTheirImage) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
@@ -765,7 +765,7 @@
 
 // scenarios/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept for it stood
 // empty for over 90 s beside work that would have fitted.
-TEST_F(Story, gang_a_place_is_not_kept_for_members_that_find_none) {
+TEST_F(SchedulerTest, GangPlaceIsNotKeptForMembersThatFindNone) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
@@ -801,7 +801,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-TEST_F(Story, fleet_a_machine_nobody_expected_is_used_or_returned) {
+TEST_F(SchedulerTest, UnexpectedMachineIsUsedOrReturned) {
     elect();
     meet(m1);  // a late rental of a leader that is gone
     settle();
@@ -821,7 +821,7 @@
 
 // inc-d158: a leader stood still for 40 s, woke, found every machine silent and returned them all, while its
 // successor was using them.
-TEST_F(Story, fleet_a_leader_that_stood_still_does_not_blame_the_machines) {
+TEST_F(SchedulerTest, PausedLeaderDoesNotBlameTheMachines) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     pass(40s);
@@ -832,7 +832,7 @@
 }
 
 // inc-8739, inc-e02a: a leader that lost the workers alone returned the whole fleet, and rented it anew.
-TEST_F(Story, fleet_a_leader_that_hears_nobody_keeps_the_fleet_until_another_may_lead) {
+TEST_F(SchedulerTest, LeaderWithoutHeartbeatsKeepsTheFleetUntilAnotherMayLead) {
     elect();
     std::vector<Worker> all;
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
@@ -849,7 +849,7 @@
 }
 
 // An own day with a zone cut off for 30 s in Riga: half the fleet was returned 5 s before it could be heard again.
-TEST_F(Story, fleet_a_crowd_that_is_still_listed_has_as_long_as_the_list_needs_to_tell_of_the_dead) {
+TEST_F(SchedulerTest, ManySilentButListedMachinesGetTheListLag) {
     settings.list_lag = Seconds(10);
     elect();
     std::vector<Worker> all;
@@ -866,7 +866,7 @@
 
 // The same day in waka: machines that the leader before had returned stayed in the records, and for the sake of their
 // number their successor waited a lease for each of them.
-TEST_F(Story, fleet_a_crowd_that_the_cloud_no_longer_lists_is_given_up_without_further_patience) {
+TEST_F(SchedulerTest, ManySilentUnlistedMachinesAreGivenUpAtOnce) {
     elect();
     std::vector<Worker> all;
     std::vector<model::ListedMachine> list;
@@ -885,7 +885,7 @@
     EXPECT_EQ(returns(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
 }
 
-TEST_F(Story, queue_what_found_no_room_waits_shortest_first_and_ahead_of_new_windows) {
+TEST_F(SchedulerTest, JobsWithoutRoomWaitShortestFirstAndAheadOfNewWindows) {
     elect();
     auto filler = job("run-1", JobKind::array, 2);
     start(filler, {&m1});  // n-000001 is full
@@ -908,7 +908,7 @@
 }
 
 // Arrays held the small ordinary machines that suit gangs, which were rented large ones meanwhile.
-TEST_F(Story, queue_an_array_that_may_use_spot_leaves_ordinary_machines_to_a_waiting_gang_for_half_its_time) {
+TEST_F(SchedulerTest, SpotArrayLeavesOnDemandMachinesToAWaitingGangForHalfItsTime) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
     gang.need.cpus = 8;
@@ -935,7 +935,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its time is gone";
 }
 
-TEST_F(Story, queue_a_critical_service_does_not_wait_for_its_window) {
+TEST_F(SchedulerTest, CriticalServiceDoesNotWaitForItsWindow) {
     elect();
     meet(m1);
     auto critical = job("run-1", JobKind::service, 1);
@@ -947,7 +947,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "");
 }
 
-TEST_F(Story, preemption_makes_room_for_a_critical_task_and_never_for_an_equal_one) {
+TEST_F(SchedulerTest, PreemptionMakesRoomForACriticalTaskAndNeverForAnEqualOne) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});  // n-000001 is full
     accept(job("run-2", JobKind::array, 1));
@@ -974,7 +974,7 @@
 
 // Riga's visitors day: a guest's idle tasks held the processors of every machine for minutes, and gangs, which need
 // whole machines, waited beside thousands of idle accelerators.
-TEST_F(Story, preemption_idle_tasks_give_a_whole_gang_its_machines_or_are_left_alone) {
+TEST_F(SchedulerTest, PreemptionOfIdleTasksServesAWholeGangOrNothing) {
     elect();
     m2.zone = "a";
     auto idle = job("run-1", JobKind::array, 4);
@@ -1010,7 +1010,7 @@
     EXPECT_EQ(leader->job("run-1")->placed, 0u);
 }
 
-TEST_F(Story, moves_a_service_goes_to_the_machine_that_has_its_image_and_only_once_it_is_gone) {
+TEST_F(SchedulerTest, ServiceMovesToTheMachineWithItsImageOnlyOnceItIsGone) {
     elect();
     auto slow = job("run-1", JobKind::service, 1), quick = job("run-2", JobKind::service, 1);
     slow.image_gb = quick.image_gb = 10;
@@ -1040,7 +1040,7 @@
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
 }
 
-TEST_F(Story, fleet_a_machine_that_fails_several_jobs_is_set_aside_but_a_bad_job_spoils_none) {
+TEST_F(SchedulerTest, MachineThatFailsSeveralJobsIsQuarantinedButABadJobSpoilsNone) {
     elect();
     std::vector<Worker> all;
     for (int i = 1; i < 6; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
@@ -1064,7 +1064,7 @@
 }
 
 // The operators' evenings: what waited for machines that were late or never came up waited in vain.
-TEST_F(Story, fleet_what_should_long_be_up_is_not_counted_on_and_its_pool_is_the_second_choice) {
+TEST_F(SchedulerTest, OverdueMachineIsNotCountedOnAndItsPoolIsTheSecondChoice) {
     elect();
     auto wanted = job("run-1", JobKind::gang, 3);
     wanted.one_zone = true;
@@ -1089,7 +1089,7 @@
 
 // On the operations days jobs submitted with a mistake were tried with all their tasks again and again, machines rented
 // for each, until their users cancelled them.
-TEST_F(Story, mistake_a_job_that_fails_everywhere_is_tried_with_one_task_and_costs_nothing_until_one_goes_well) {
+TEST_F(SchedulerTest, CrashLoopingJobIsTriedWithOneTaskAndCostsNothingUntilOneSucceeds) {
     elect();
     meet(m1);
     meet(m2);
--- a/tests/submission_service_test.cpp
+++ b/tests/submission_service_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct SubmissionServiceStory : ::testing::Test {
+struct SubmissionServiceTest : ::testing::Test {
     net::asio::io_context io;
     FakeStore store;
     config::Settings cluster = settings();
@@ -89,13 +89,13 @@
 
 }  // namespace
 
-TEST_F(SubmissionServiceStory, a_job_is_taken_once_whoever_is_asked) {
+TEST_F(SubmissionServiceTest, JobIsAcceptedOnceWhoeverIsAsked) {
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 201u);
     EXPECT_EQ(run(two.submit(body("run-1"))).status, 200u);
     EXPECT_EQ(run(two.poll("run-1")).status, 200u);
 }
 
-TEST_F(SubmissionServiceStory, forgotten_a_known_job_stays_accepted_whatever_its_repetition_says) {
+TEST_F(SubmissionServiceTest, KnownJobStaysAcceptedWhateverItsRepetitionContains) {
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     EXPECT_EQ(run(two.submit(body("run-1", "nobody"))).status, 200u);
     EXPECT_EQ(run(two.submit(body("run-1", "team", 0))).status, 200u);
@@ -104,7 +104,7 @@
     EXPECT_EQ(run(two.submit("{")).status, 400u);
 }
 
-TEST_F(SubmissionServiceStory, a_submission_that_would_wait_long_is_refused_at_once_and_told_when_to_come_back) {
+TEST_F(SubmissionServiceTest, SubmissionThatWouldWaitLongIsRefusedWithRetryAfter) {
     store.wait_for_writes = std::chrono::duration<double>(3.2);
     const auto refused = run(one.submit(body("run-1")));
     EXPECT_EQ(refused.status, 503u);
@@ -114,7 +114,7 @@
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 201u);
 }
 
-TEST_F(SubmissionServiceStory, what_can_never_run_is_told_apart_from_what_is_not_known_yet) {
+TEST_F(SubmissionServiceTest, ImpossibleJobsAreDistinguishedFromNotYetKnownTypes) {
     auto huge = body("run-1");
     huge.replace(huge.find("4.0"), 3, "999");
     EXPECT_EQ(run(one.submit(huge)).status, 422u);
@@ -126,7 +126,7 @@
 }
 
 // What can't run is never accepted, by any path: repeated, before the machine types are known, in an outage.
-TEST_F(SubmissionServiceStory, what_can_not_run_or_lacks_a_field_is_accepted_by_no_path) {
+TEST_F(SubmissionServiceTest, ImpossibleOrIncompleteJobIsAcceptedByNoPath) {
     auto lacks = body("run-1"), nowhere = body("run-2"), torn = body("run-3", "team", 2);
     lacks.replace(lacks.find(R"("scatter":false,)"), 16, "");
     nowhere.replace(nowhere.find(R"("hall":null)"), 11, R"("hall":"z")");
@@ -147,7 +147,7 @@
     EXPECT_TRUE(store.keys.range("jobs/").empty());
 }
 
-TEST_F(SubmissionServiceStory, an_accepted_answer_means_it_is_on_record_even_if_the_answer_was_lost) {
+TEST_F(SubmissionServiceTest, AcceptedMeansOnRecordEvenIfTheResponseWasLost) {
     store.lose_answers = 1;
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 200u);
     EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
@@ -155,13 +155,13 @@
     EXPECT_EQ(run(one.submit(body("run-2"))).status, 503u);
 }
 
-TEST_F(SubmissionServiceStory, invented_an_unknown_job_is_not_found_and_malformed_ids_neither) {
+TEST_F(SubmissionServiceTest, UnknownJobsAndMalformedIdsAreNotFound) {
     EXPECT_EQ(run(one.poll("run-9")).status, 404u);
     EXPECT_EQ(run(one.poll("run-9/../x")).status, 404u);
     EXPECT_EQ(run(one.cancel("run-9")).status, 404u);
 }
 
-TEST_F(SubmissionServiceStory, went_back_no_controller_answers_from_an_old_memory) {
+TEST_F(SubmissionServiceTest, NoControllerAnswersFromAStaleCache) {
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.poll("run-1")).status, 200u);
     ASSERT_NE(run(one.cancel("run-1")).body.find("aborted"), std::string::npos);
@@ -169,7 +169,7 @@
     EXPECT_NE(run(two.submit(body("run-1"))).body.find("aborted"), std::string::npos);
 }
 
-TEST_F(SubmissionServiceStory, in_an_outage_only_final_states_are_told) {
+TEST_F(SubmissionServiceTest, OnlyFinalStatesAreReportedDuringAnOutage) {
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(one.submit(body("run-2"))).status, 201u);
     ASSERT_EQ(run(one.cancel("run-2")).status, 200u);
@@ -179,7 +179,7 @@
     EXPECT_EQ(run(one.cancel("run-1")).status, 503u);
 }
 
-TEST_F(SubmissionServiceStory, polls_that_come_together_share_their_checks) {
+TEST_F(SubmissionServiceTest, ConcurrentPollsShareTheirChecks) {
     for (int i = 0; i < 20; ++i) ASSERT_EQ(run(one.submit(body("run-" + std::to_string(i)))).status, 201u);
     store.commits = 0;
     int good = 0;
@@ -192,7 +192,7 @@
     EXPECT_LE(store.commits, 2);
 }
 
-TEST_F(SubmissionServiceStory, prerequisites_are_not_taken_before_all_controllers_can_read_them) {
+TEST_F(SubmissionServiceTest, DependenciesAreRefusedBeforeAllControllersCanReadThem) {
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     const auto r = run(one.submit(after("run-2", R"(["run-1"])")));
     EXPECT_EQ(r.status, 503u);
@@ -204,7 +204,7 @@
     EXPECT_EQ(run(one.submit(after("run-2", R"(["run-999"])"))).status, 200u) << "a repetition, whatever it names";
 }
 
-TEST_F(SubmissionServiceStory, only_jobs_that_were_accepted_and_can_be_done_may_be_named) {
+TEST_F(SubmissionServiceTest, OnlyAcceptedJobsThatCanFinishMayBeDependencies) {
     record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     auto service = body("run-2");
@@ -221,7 +221,7 @@
     EXPECT_EQ(run(two.submit(after("run-4", R"(["run-8"])"))).status, 503u) << "silence is no proof";
 }
 
-TEST_F(SubmissionServiceStory, orphaned_whoever_is_asked_tells_aborted_as_soon_as_what_a_job_needs_is_cancelled) {
+TEST_F(SubmissionServiceTest, AbortedIsReportedAsSoonAsADependencyIsCancelled) {
     record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(one.submit(after("run-2", R"(["run-1"])"))).status, 201u);
@@ -235,7 +235,7 @@
     EXPECT_NE(run(one.cancel("run-3")).body.find("aborted"), std::string::npos);
 }
 
-TEST_F(SubmissionServiceStory, a_job_whose_prerequisites_are_done_is_pending_like_any) {
+TEST_F(SubmissionServiceTest, JobWithFinishedDependenciesIsPending) {
     record_format.all_read(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.submit(after("run-2", R"(["run-1"])"))).status, 201u);
@@ -246,7 +246,7 @@
     EXPECT_EQ(told(one, "run-2"), "") << "what it needs is known to be done, but not whether it is open";
 }
 
-TEST_F(SubmissionServiceStory, what_is_too_long_for_the_old_form_waits_and_what_can_never_be_kept_is_told_by_name) {
+TEST_F(SubmissionServiceTest, SubmissionTooLongForTheOldFormatWaitsAndOneThatNeverFitsIsNamed) {
     std::string types = R"(["small")", names = R"(["run-1")";
     for (int i = 0; i < 200; ++i) {
         types += ",\"type-number-" + std::to_string(i) + '"';
@@ -275,7 +275,7 @@
 
 // What is known of jobs is a cache, and may be emptied of what somebody is just being answered by: accepted jobs were
 // answered with 404, for the look-up after the check found no entry (docs/incidents/cache-emptied-in-use.md).
-TEST_F(SubmissionServiceStory, forgotten_a_cache_that_holds_fewer_jobs_than_are_asked_for_forgets_none) {
+TEST_F(SubmissionServiceTest, CacheSmallerThanTheNumberOfJobsForgetsNone) {
     api::SubmissionService small{io.get_executor(), store, cluster, record_format, callbacks(), 1};
     for (int i = 1; i <= 6; ++i) ASSERT_EQ(run(two.submit(body("run-" + std::to_string(i)))).status, 201u);
     end("run-5", "done");
@@ -294,7 +294,7 @@
 
 // That a job must be aborted, for one that it needs was cancelled, was told before it was on record, and lived in the
 // cache alone.
-TEST_F(SubmissionServiceStory, went_back_aborted_by_what_it_needs_is_on_record_before_it_is_told) {
+TEST_F(SubmissionServiceTest, AbortByDependencyIsOnRecordBeforeItIsReported) {
     record_format.all_read(state::newest_format);
     api::SubmissionService small{io.get_executor(), store, cluster, record_format, callbacks(), 1};
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
@@ -313,7 +313,7 @@
 }
 
 // One comparison without an answer held back all questions that came after it, until their users had gone.
-TEST_F(SubmissionServiceStory, forgotten_a_comparison_that_is_never_answered_holds_back_nobody_else) {
+TEST_F(SubmissionServiceTest, UnansweredComparisonBlocksNoOther) {
     model::TimePoint now{std::chrono::seconds(1000)};
     model::Clock::simulated = &now;
     const auto began = now;
@@ -350,7 +350,7 @@
     model::Clock::simulated = nullptr;
 }
 
-TEST_F(SubmissionServiceStory, what_is_remembered_to_be_open_needs_one_comparison_and_no_reading) {
+TEST_F(SubmissionServiceTest, RememberedOpenJobNeedsOneComparisonAndNoRead) {
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
     open_records["run-1"] = store.keys.get("jobs/work/run-1");
     remembered["run-1"] = {};
@@ -362,7 +362,7 @@
 }
 
 // A poll and a cancellation cross: what is known by the time of the answer counts.
-TEST_F(SubmissionServiceStory, went_back_a_question_that_was_under_way_when_the_job_ended_is_answered_by_its_end) {
+TEST_F(SubmissionServiceTest, PollPendingWhenTheJobEndsReportsTheEnd) {
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(told(one, "run-1"), "pending");
     std::vector<net::awaitable<net::Reply>> calls;
@@ -379,7 +379,7 @@
     EXPECT_EQ(status_in(run(one.submit(body("run-1", "nobody")))), "aborted");
 }
 
-TEST_F(SubmissionServiceStory, a_record_that_cannot_be_read_is_no_word_on_its_job_and_stops_nobody_else) {
+TEST_F(SubmissionServiceTest, UnreadableRecordSaysNothingAndBlocksNoOther) {
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
     state::Txn txn;
     txn.changes.push_back({"jobs/work/run-2", boost::json::array{1, 2}, 0});
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST(Wire, a_sound_submission_is_read_and_survives_its_record) {
+TEST(WireTest, ValidSubmissionIsParsedAndSurvivesItsRecord) {
     const auto s = wire::parse_submission(wire::parse_object(good));
     EXPECT_EQ(s.uid, "run-000412");
     EXPECT_EQ(s.tasks, 16u);
@@ -47,7 +47,7 @@
     EXPECT_EQ(again.kind, model::JobKind::gang);
 }
 
-TEST(Wire, malformed_submissions_are_named_by_field_and_reason) {
+TEST(WireTest, MalformedSubmissionsAreNamedByFieldAndReason) {
     const std::pair<std::string, std::string> table[] = {
         {"", "body"},
         {"nonsense", "body"},
@@ -90,7 +90,7 @@
 }
 
 // Only what may be null may be omitted: three flags that were left out were taken for false, and the job accepted.
-TEST(Wire, a_field_that_is_missing_or_of_another_type_is_named_whichever_it_is) {
+TEST(WireTest, MissingOrWronglyTypedFieldIsNamed) {
     const auto sound = wire::parse_object(good);
     const std::set<std::string_view> may_be_null{"hosttypes", "hall", "due_s", "prereqs", "unheard_of"};
     for (const auto& [field, value] : sound) {
@@ -119,7 +119,7 @@
     }
 }
 
-TEST(Wire, a_report_is_read_and_an_unknown_cause_counts_as_a_failure) {
+TEST(WireTest, UnknownExitReasonInAHeartbeatCountsAsAFailure) {
     const auto r = wire::parse_heartbeat(
         R"({"host":"n-1","endpoint":"10.1.0.1:9000","hosttype":"g8","hall":"a","loaners":true,"tenure":1,"tick":88,)"
         R"("baton":41,"warning_s":null,"shards":[{"shard":"run-1/3","try":2,"status":"running"},)"
@@ -132,7 +132,7 @@
     EXPECT_THROW(wire::parse_heartbeat("{}"), wire::DecodeError);
 }
 
-TEST(Wire, machine_types_survive_being_kept) {
+TEST(WireTest, MachineTypesSurviveTheirRecord) {
     const auto types = wire::parse_catalog(
         R"({"hosttypes":[{"name":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,"pull_gb_per_s":1.0,)"
         R"("price":12.0,"market_price":4.5,"boot_s":45,"halls":["a","b"]}]})");
@@ -143,7 +143,7 @@
     EXPECT_EQ(again[0].boot, types[0].boot);
 }
 
-TEST(Wire, task_ranges_stay_within_a_value_at_their_worst) {
+TEST(WireTest, TaskRangesFitIntoAValueInTheWorstCase) {
     scheduler::Job job;
     job.spec.tasks = 100'000;
     job.spec.uid = "run-1";
@@ -162,7 +162,7 @@
     EXPECT_LT(boost::json::serialize(scheduler::work_record(job, 0)).size(), 16u * 1024);
 }
 
-TEST(Wire, peers_understand_each_other_and_refuse_nonsense) {
+TEST(WireTest, PeerMessagesSurviveEncodingAndInvalidOnesAreRefused) {
     peer::StatusMessage b;
     b.member = "one";
     b.leader = "two";
