--- a/apps/controller_main.cpp
+++ b/apps/controller_main.cpp
@@ -45,10 +45,10 @@
         return cli.exit(e) == 0 ? 0 : bad_settings;
     }
     config::Settings settings;
-    config::Tunables tunables;
+    config::OperatorSettings operator_settings;
     try {
         settings = config::load_settings(path);
-        if (!operator_path.empty()) tunables = config::load_tunables(operator_path);
+        if (!operator_path.empty()) operator_settings = config::load_operator_settings(operator_path);
     } catch (const config::ConfigError& e) {
         std::cerr << "flintdale: " << e.what() << '\n';
         return bad_settings;
@@ -60,7 +60,7 @@
     set_up_log(settings.member);
     try {
         net::asio::io_context io(1);
-        app::Node node(io, std::move(settings), std::move(tunables));
+        app::Node node(io, std::move(settings), std::move(operator_settings));
         node.start();
         spdlog::info("event=started");
         io.run();
--- a/bench/leader_bench.cpp
+++ b/bench/leader_bench.cpp
@@ -52,7 +52,7 @@
 struct Fleet {
     static constexpr std::uint32_t per_machine = 4, per_job = 40;
     config::Settings settings = ::settings();
-    config::Tunables tunables;
+    config::OperatorSettings operator_settings;
     state::RecordFormat record_format{settings};
     model::TimePoint now{1000s};
     std::unique_ptr<scheduler::Scheduler> leader;
@@ -102,7 +102,7 @@
         records.push_back({scheduler::work_key(spec.uid, 0), scheduler::first_work_record(spec), 1});
     }
     void elect() {
-        leader = std::make_unique<scheduler::Scheduler>(settings, tunables, record_format, 1, 1, now);
+        leader = std::make_unique<scheduler::Scheduler>(settings, operator_settings, record_format, 1, 1, now);
         model::MachineType type;
         type.name = "type";
         type.capacity = {16, 4, 64};
@@ -112,7 +112,7 @@
         type.spot_price = 2;
         type.boot = model::Seconds(40);
         type.zones = {"a", "b", "c"};
-        leader->catalog({type});
+        leader->set_machine_types({type});
         leader->load(records, now);
     }
     model::Heartbeat report(std::size_t i, std::uint64_t sequence) const {
@@ -136,7 +136,7 @@
     }
     void hear() {
         now += 10s;
-        for (std::size_t i = 0; i < names.size(); ++i) leader->report(report(i, 1), now);
+        for (std::size_t i = 0; i < names.size(); ++i) leader->handle_heartbeat(report(i, 1), now);
     }
 };
 
@@ -145,7 +145,7 @@
     std::uint64_t n = 0;
     for (auto _ : state) {
         const auto r = f.report(n % f.names.size(), 2 + n / f.names.size());
-        benchmark::DoNotOptimize(f.leader->report(r, f.now));
+        benchmark::DoNotOptimize(f.leader->handle_heartbeat(r, f.now));
         ++n;
     }
 }
@@ -157,17 +157,17 @@
 
 void rent(benchmark::State& state) {
     Fleet f(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-    for (auto _ : state) benchmark::DoNotOptimize(f.leader->rent(f.now));
+    for (auto _ : state) benchmark::DoNotOptimize(f.leader->scale_out(f.now));
 }
 
 void release(benchmark::State& state) {
     Fleet f(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-    for (auto _ : state) benchmark::DoNotOptimize(f.leader->release(f.now));
+    for (auto _ : state) benchmark::DoNotOptimize(f.leader->scale_in(f.now));
 }
 
 void improve(benchmark::State& state) {
     Fleet f(static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(1)));
-    for (auto _ : state) f.leader->improve(f.now);
+    for (auto _ : state) f.leader->relocate(f.now);
 }
 
 void load(benchmark::State& state) {
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -54,30 +54,32 @@
 
 }  // namespace
 
-Controller::Controller(net::Executor ex, const config::Settings& settings, const config::Tunables& tunables,
-                       state::RecordFormat& record_format, Ports ports)
+Controller::Controller(net::Executor ex, const config::Settings& settings,
+                       const config::OperatorSettings& operator_settings, state::RecordFormat& record_format,
+                       Ports ports)
     : ex_(ex),
       settings_(settings),
-      tunables_(tunables),
+      operator_settings_(operator_settings),
       record_format_(record_format),
       ports_(std::move(ports)),
       incarnation_(new_incarnation(ports_.time_of_day_ms())),
-      store_(ports_.state, scheduler::jobs_prefix,
-             {[this](const char* why) { recovery_.doubt(why); },
-              [this](const state::Change& change, std::uint64_t revision) { recovery_.written(change, revision); },
-              [this](const std::string& key) { return recovery_.replica().expected(key); },
-              [](const std::string& key) {
-                  const auto work = scheduler::parse_work_key(key);
-                  return work ? scheduler::outcome_key(work->uid) : std::string();
-              },
-              [this](const std::string& key) { recovery_.missed(key); }}),
+      store_(
+          ports_.state, scheduler::jobs_prefix,
+          {[this](const char* why) { recovery_.suspect_loss(why); },
+           [this](const state::Change& change, std::uint64_t revision) { recovery_.record_written(change, revision); },
+           [this](const std::string& key) { return recovery_.replica().expected(key); },
+           [](const std::string& key) {
+               const auto work = scheduler::parse_work_key(key);
+               return work ? scheduler::outcome_key(work->uid) : std::string();
+           },
+           [this](const std::string& key) { recovery_.record_missing(key); }}),
       cloud_(ports_.cloud),
-      elector_(ex_, store_, settings_.member, tunables_.election_lease,
+      elector_(ex_, store_, settings_.member, operator_settings_.election_lease,
                {[this](election::Term term) {
                     ports_.state.set_leading(true);
                     term_ = term;
-                    if (term.gap) recovery_.doubt("a term that was seen is not on record");
-                    recovery_.leads(term);
+                    if (term.gap) recovery_.suspect_loss("a term that was seen is not on record");
+                    recovery_.term_won(term);
                 },
                 [this] { end_term(); }},
                ports_.time_of_day_ms),
@@ -92,9 +94,9 @@
               {[this](model::TimePoint noted) { return somebody_knows(noted); },
                [this](const std::string& uid) { return recovery_.replica().machines_of(uid); },
                [this] { return cut_off_from_store(); }}),
-      reports_(ex_, settings_, tunables_, follower_leases_, incarnation_, heartbeat_callbacks()),
-      recovery_(ex_, ports_.state, store_, settings_, record_format_, recovery::SnapshotFile(tunables_.snapshots),
-                recovery_callbacks()),
+      reports_(ex_, settings_, operator_settings_, follower_leases_, incarnation_, heartbeat_callbacks()),
+      recovery_(ex_, ports_.state, store_, settings_, record_format_,
+                recovery::SnapshotFile(operator_settings_.snapshot_directory), recovery_callbacks()),
       submissions_(ex_, store_, settings_, record_format_,
                    {ports_.time_of_day_ms, [this](const std::string& uid) { note_cancelled(uid); },
                     [this] { return types_.empty() ? nullptr : &types_; },
@@ -106,7 +108,7 @@
                         return it == counts_.end() ? api::DisplayCount{} : it->second;
                     },
                     [this](const state::KeyValue& item) {
-                        recovery_.told(item);
+                        recovery_.reported_to_user(item);
                         if (leader_term_) leader_term_->job_changed(item);
                     },
                     [this](const std::string& uid) -> std::optional<api::Remembered> {
@@ -120,7 +122,7 @@
                         if (!outcome) return std::nullopt;
                         return api::Remembered{outcome->state, outcome->size};
                     },
-                    [this] { return recovery_.certain(); },
+                    [this] { return recovery_.knows_all_jobs(); },
                     [this](const std::string& uid) -> std::optional<state::KeyValue> {
                         const auto record = recovery_.replica().record(scheduler::work_key(uid, 0));
                         // What is owed, or damaged, is read where it stands.
@@ -132,13 +134,13 @@
                         item.mod_revision = record->mod_revision;
                         return ec || !item.value.is_object() ? std::nullopt : std::optional(std::move(item));
                     }},
-                   static_cast<std::size_t>(tunables.known_jobs)) {}
+                   static_cast<std::size_t>(operator_settings.job_cache_size)) {}
 
 recovery::RecoveryCoordinator::Callbacks Controller::recovery_callbacks() {
     recovery::RecoveryCoordinator::Callbacks callbacks;
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
     callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
-    callbacks.new_term = [this](const char* why) { elector_.again(why); };
+    callbacks.new_term = [this](const char* why) { elector_.restart_term(why); };
     using Look = recovery::RecoveryCoordinator::Callbacks::Look;
     callbacks.outcomes = [this](const std::vector<state::KeyValue>& items, model::TimePoint began, Look look) {
         if (look == Look::after_a_gap) follower_leases_.lost_track(Clock::now());
@@ -153,7 +155,7 @@
         // Jobs that were believed to be open are looked up again; keys that are not rebuilt are put in place anew.
         submissions_.forget_open();
         kept_catalog_ = false;
-        net::asio::co_spawn(ex_, members_.enroll_again(), net::asio::detached);
+        net::asio::co_spawn(ex_, members_.restore_enrollment(), net::asio::detached);
     };
     callbacks.seen_term = [this] { return elector_.term(); };
     callbacks.incarnation = incarnation_;
@@ -162,18 +164,18 @@
 
 void Controller::begin_term(election::Term term, bool unsettled) {
     LeaderTerm::Callbacks callbacks;
-    callbacks.doubt = [this] { elector_.doubt(); };
+    callbacks.doubt = [this] { elector_.verify_leadership(); };
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
     callbacks.loss = [this](const char* why, bool beyond_memory) {
         using Loss = recovery::RecoveryCoordinator::Loss;
-        recovery_.doubt(why, beyond_memory ? Loss::beyond_memory : Loss::seen);
+        recovery_.suspect_loss(why, beyond_memory ? Loss::beyond_memory : Loss::seen);
     };
-    callbacks.over = [this](const std::string& uid) { return recovery_.replica().over(uid); };
+    callbacks.over = [this](const std::string& uid) { return recovery_.replica().is_over(uid); };
     callbacks.cancelled_for = [this](const std::string& uid) {
         const auto outcome = recovery_.outcome_of(uid);
         if (!outcome || outcome->state != model::JobState::cancelled) return model::Seconds(0);
         // Former versions did not put down when: it may be for long.
-        return over_for(uid).value_or(settings_.cancel * 0.5);
+        return over_for(uid).value_or(settings_.cancel_deadline * 0.5);
     };
     callbacks.others_reach_state = [this] {
         const auto now = Clock::now();
@@ -185,16 +187,16 @@
     callbacks.over_already = [this](const std::string& uid) {
         const auto outcome = recovery_.outcome_of(uid);
         if (outcome && outcome->state == model::JobState::cancelled)
-            if (const auto ago = over_for(uid); ago && *ago < settings_.cancel)
+            if (const auto ago = over_for(uid); ago && *ago < settings_.cancel_deadline)
                 fencer_.cancelled(uid, Clock::now() - model::to_clock(*ago));
     };
     callbacks.told_cancelled = [this](const std::string& uid) { return cancellations_.knows(uid); };
-    callbacks.again = [this](const char* why) { elector_.again(why); };
-    callbacks.settled = [this] { recovery_.settled(); };
-    callbacks.seen = [this](const state::KeyValue& item) { recovery_.told(item); };
+    callbacks.again = [this](const char* why) { elector_.restart_term(why); };
+    callbacks.settled = [this] { recovery_.reconciliation_complete(); };
+    callbacks.seen = [this](const state::KeyValue& item) { recovery_.reported_to_user(item); };
     callbacks.open = [this] { return recovery_.replica().open_jobs(); };
-    leader_term_ = std::make_shared<LeaderTerm>(ex_, store_, cloud_, settings_, tunables_, record_format_, term,
-                                                unsettled, std::move(callbacks));
+    leader_term_ = std::make_shared<LeaderTerm>(ex_, store_, cloud_, settings_, operator_settings_, record_format_,
+                                                term, unsettled, std::move(callbacks));
     if (teams_) leader_term_->scheduler().set_teams(*teams_);
     reports_.term_changed();
     leader_term_->start(types_);
@@ -205,8 +207,8 @@
     const auto now = Clock::now();
     if (!cancellations_.note(uid, now)) return;
     follower_leases_.cancelled(uid, now);
-    fencer_.cancelled(uid,
-                      now - model::to_clock(std::min(over_for(uid).value_or(model::Seconds(0)), settings_.cancel)));
+    fencer_.cancelled(
+        uid, now - model::to_clock(std::min(over_for(uid).value_or(model::Seconds(0)), settings_.cancel_deadline)));
     if (leader_term_) leader_term_->cancelled_elsewhere(uid);
 }
 
@@ -226,7 +228,7 @@
     return std::any_of(peer_state_.begin(), peer_state_.end(), [&](const auto& entry) {
         const auto& [member, peer] = entry;
         if (now - peer.heard >= 3s) return false;
-        return peer.state_ok || (peer.leading && cancellations_.has_heard(member, noted));
+        return peer.state_ok || (peer.leading && cancellations_.has_received(member, noted));
     });
 }
 
@@ -240,12 +242,12 @@
 }
 
 model::TimePoint Controller::cancellations_known_until(model::TimePoint looked) const {
-    return cancellations_.known_at(looked, Clock::now());
+    return cancellations_.all_known_until(looked, Clock::now());
 }
 
 void Controller::end_term() {
     ports_.state.set_leading(false);
-    recovery_.deposed();
+    recovery_.term_lost();
     if (leader_term_) leader_term_->stop();
     leader_term_.reset();
 }
@@ -332,15 +334,16 @@
         b.format = static_cast<std::uint32_t>(record_format_.format());
         share_writes(b.writes);
         if (leader_term_)
-            for (auto& [uid, c] : leader_term_->scheduler().take_counts()) b.counts.push_back({uid, c.done, c.running});
+            for (auto& [uid, c] : leader_term_->scheduler().take_changed_counts())
+                b.counts.push_back({uid, c.done, c.running});
         const auto records = recovery_.own_status();
         b.generation = records.generation;
         b.history = records.id;
         b.remembers = records.remembers;
         b.rebuilding = records.rebuilding;
         b.incarnation = incarnation_;
-        b.cancellations = cancellations_.say(Clock::now());
-        reports_.describe(b);
+        b.cancellations = cancellations_.make_report(Clock::now());
+        reports_.fill_status(b);
         ports_.broadcast_status(b);
         resign_if_cut_off_from_workers();
         // Until it is known whether anybody knows of a marker, nobody can be served.
@@ -393,10 +396,11 @@
     if (from == From::former) return;  // held on its way: what it says of itself is true of nobody
     if (from == From::next) peer_state_.erase(status.member);
     for (const auto& uid : status.cancellations.lately) note_cancelled(uid);
-    cancellations_.heard(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
-    elector_.heard(status.term, status.leader);
+    cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
+    elector_.observe_term(status.term, status.leader);
     record_format_.all_read(status.format);
-    recovery_.heard(status.member, {status.generation, status.remembers, status.history, status.rebuilding, {}});
+    recovery_.peer_status_received(status.member,
+                                   {status.generation, status.remembers, status.history, status.rebuilding, {}});
     auto& peer = peer_state_[status.member];
     peer = {Clock::now(),
             status.state_ok,
@@ -404,7 +408,7 @@
             status.writes,
             peer.redirects * redirects_kept + status.redirects,
             status.generation > 0};
-    reports_.received(status);
+    reports_.peer_status_received(status);
     if (counts_.size() > max_counts) counts_.clear();
     for (const auto& c : status.counts) counts_[c.uid] = {c.done, c.running};
 }
@@ -433,20 +437,20 @@
 
 // A report has arrived, directly or relayed.
 void Controller::note_report(const model::Heartbeat& r) {
-    if (r.fencing_token > elector_.term()) elector_.heard(r.fencing_token, std::string());
-    fencer_.heard(r.machine);
+    if (r.fencing_token > elector_.term()) elector_.observe_term(r.fencing_token, std::string());
+    fencer_.heartbeat_received(r.machine);
     // Between this leader's term and the one on record before it there was none, unless the records of one were lost.
     if (elector_.leading() && recovery_.ready() &&
-        r.fencing_token > std::max(term_.previous, recovery_.rebuilt_under()) && r.fencing_token < term_.number)
-        recovery_.doubt("a worker has seen a term that is not on record",
-                        recovery::RecoveryCoordinator::Loss::beyond_memory);
+        r.fencing_token > std::max(term_.previous, recovery_.recovered_in_term()) && r.fencing_token < term_.number)
+        recovery_.suspect_loss("a worker has seen a term that is not on record",
+                               recovery::RecoveryCoordinator::Loss::beyond_memory);
 }
 
 HeartbeatService::Callbacks Controller::heartbeat_callbacks() {
     HeartbeatService::Callbacks callbacks;
     callbacks.noticed = [this](const model::Heartbeat& r) { note_report(r); };
     callbacks.leading = [this] { return elector_.leading(); };
-    callbacks.rebuilding = [this] { return recovery_.rebuilding() != 0; };
+    callbacks.rebuilding = [this] { return recovery_.recovering() != 0; };
     callbacks.leader_term = [this] { return leader_term_; };
     callbacks.own_term = [this] { return term_.number; };
     callbacks.newest_term = [this] { return elector_.term(); };
@@ -454,7 +458,7 @@
     callbacks.leaderless = [this] { return leaderless(); };
     callbacks.state_healthy = [this] { return ports_.state.healthy(Clock::now()); };
     callbacks.cancellations_known_until = [this] { return cancellations_known_until(follower_leases_.looked_at()); };
-    callbacks.shown = [this](const model::Heartbeat& r) { recovery_.shown(r); };
+    callbacks.shown = [this](const model::Heartbeat& r) { recovery_.tasks_reported(r); };
     callbacks.send = [this](const std::string& member, const peer::RelayMessage& m) { return ports_.relay(member, m); };
     return callbacks;
 }
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -29,13 +29,13 @@
 
 class Controller {
   public:
-    Controller(net::Executor ex, const config::Settings& settings, const config::Tunables& tunables,
+    Controller(net::Executor ex, const config::Settings& settings, const config::OperatorSettings& operator_settings,
                state::RecordFormat& record_format, Ports ports);
     void start();
 
     awaitable<net::Reply> handle(net::Request request);
     void received(const peer::StatusMessage& status);
-    void relayed(const peer::RelayMessage& message) { reports_.relayed(message); }
+    void relayed(const peer::RelayMessage& message) { reports_.relay_message_received(message); }
     // The link to that controller has broken.
     void link_lost(const std::string& member) { reports_.link_lost(member); }
 
@@ -65,7 +65,7 @@
 
     net::Executor ex_;
     const config::Settings& settings_;
-    const config::Tunables& tunables_;
+    const config::OperatorSettings& operator_settings_;
     state::RecordFormat& record_format_;
     Ports ports_;
     std::uint64_t incarnation_;  // what tells this incarnation of the controller from the one before, which may have
--- a/src/app/fencer.cpp
+++ b/src/app/fencer.cpp
@@ -41,7 +41,7 @@
 awaitable<void> Fencer::run() {
     for (;;) {
         co_await net::sleep_for(look_gap);
-        co_await look();
+        co_await scan();
     }
 }
 
@@ -61,7 +61,7 @@
     return out;
 }
 
-void Fencer::heard(const std::string& machine) {
+void Fencer::heartbeat_received(const std::string& machine) {
     if (callbacks_.cut_off_from_store()) heard_[machine] = Clock::now();
 }
 
@@ -76,15 +76,15 @@
     Due out;
     for (const auto& m : listed) {
         const auto it = heard_.find(m.name);
-        const bool lately = it != heard_.end() && Clock::now() - it->second < model::to_clock(settings_.lease);
+        const bool lately = it != heard_.end() && Clock::now() - it->second < model::to_clock(settings_.worker_lease);
         if (m.status == model::MachineStatus::running && !lately) out.jobs[m.name].insert(anything);
     }
     return out;
 }
 
-awaitable<void> Fencer::look() {
+awaitable<void> Fencer::scan() {
     const auto now = Clock::now();
-    while (!cancelled_.empty() && now - cancelled_.begin()->first > model::to_clock(settings_.cancel))
+    while (!cancelled_.empty() && now - cancelled_.begin()->first > model::to_clock(settings_.cancel_deadline))
         cancelled_.erase(cancelled_.begin());
     if (!callbacks_.cut_off_from_store()) heard_.clear();
     auto found = due();
--- a/src/app/fencer.hpp
+++ b/src/app/fencer.hpp
@@ -42,10 +42,10 @@
     // The job was cancelled then, and that is known here from now on.
     void cancelled(const std::string& uid, model::TimePoint at);
     // A worker has reported.
-    void heard(const std::string& machine);
+    void heartbeat_received(const std::string& machine);
     awaitable<void> run();
     // One look: asks and fences what is due.
-    awaitable<void> look();
+    awaitable<void> scan();
     std::size_t fenced() const { return fenced_; }
 
   private:
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -36,16 +36,17 @@
 
 }  // namespace
 
-HeartbeatService::HeartbeatService(net::Executor ex, const config::Settings& settings, const config::Tunables& tunables,
+HeartbeatService::HeartbeatService(net::Executor ex, const config::Settings& settings,
+                                   const config::OperatorSettings& operator_settings,
                                    scheduler::FollowerLeases& follower_leases, std::uint64_t incarnation,
                                    Callbacks callbacks)
     : ex_(ex),
       settings_(settings),
-      tunables_(tunables),
+      operator_settings_(operator_settings),
       follower_leases_(follower_leases),
       incarnation_(incarnation),
       callbacks_(std::move(callbacks)),
-      assignment_(settings, tunables),
+      assignment_(settings, operator_settings),
       relay_(ex, settings, incarnation,
              [this](const std::string& member, const peer::RelayMessage& m) { return callbacks_.send(member, m); }) {}
 
@@ -111,7 +112,7 @@
 
 bool HeartbeatService::relays_to(const std::string& leader) const {
     const auto it = heard_.find(leader);
-    return tunables_.relay && it != heard_.end() && it->second.relays && it->second.leading &&
+    return operator_settings_.relay_heartbeats && it != heard_.end() && it->second.relays && it->second.leading &&
            Clock::now() - it->second.at < heard_within;
 }
 
@@ -137,16 +138,16 @@
         if (other) co_return *other == leader ? send_on(leader) : reply(421, wire::redirect_body(*other));
     }
     // One that was served here waits for the next leader with its connection open.
-    if (!relays && !(tunables_.relay && assignment_.serves(r.machine))) co_return send_on(leader);
+    if (!relays && !(operator_settings_.relay_heartbeats && assignment_.serves(r.machine))) co_return send_on(leader);
     const auto answer = co_await relay_.relay(std::move(r));
     co_return answer ? reply(200, wire::heartbeat_response(answer->fencing_token, answer->commands)) : not_entitled();
 }
 
-void HeartbeatService::received(const peer::StatusMessage& status) {
+void HeartbeatService::peer_status_received(const peer::StatusMessage& status) {
     const auto now = Clock::now();
     heard_[status.member] = {now, status.incarnation, status.term, status.relays, status.leading};
-    assignment_.heard(status.member, {status.relays, status.leading, status.workers, status.capacity, status.fleet},
-                      now);
+    assignment_.peer_load_received(status.member,
+                                   {status.relays, status.leading, status.workers, status.capacity, status.fleet}, now);
     const auto leader = callbacks_.leader();
     if (callbacks_.leading() || leader == settings_.member || !relays_to(leader)) {
         // A message of another controller says nothing of the leader that is followed.
@@ -157,9 +158,9 @@
     relay_.follow(peer::Leader{leader, heard.incarnation, heard.term});
 }
 
-void HeartbeatService::describe(peer::StatusMessage& status) {
+void HeartbeatService::fill_status(peer::StatusMessage& status) {
     status.redirects = std::exchange(redirects_, 0);
-    status.relays = tunables_.relay;
+    status.relays = operator_settings_.relay_heartbeats;
     status.workers = assignment_.workers(Clock::now());
     status.capacity = assignment_.capacity(status.leading);
     if (const auto term = callbacks_.leader_term(); term && term->loaded())
@@ -175,7 +176,7 @@
     return outbox;
 }
 
-void HeartbeatService::relayed(const peer::RelayMessage& message) {
+void HeartbeatService::relay_message_received(const peer::RelayMessage& message) {
     if (message.to != incarnation_) return;  // meant for the process before this one
     relay_.answered(message, callbacks_.newest_term());
     for (const auto& r : message.reports) {
--- a/src/app/heartbeat_service.hpp
+++ b/src/app/heartbeat_service.hpp
@@ -30,17 +30,18 @@
         std::function<void(const model::Heartbeat&)> shown;           // while the records are rebuilt
         std::function<bool(const std::string& member, const peer::RelayMessage&)> send;
     };
-    HeartbeatService(net::Executor ex, const config::Settings& settings, const config::Tunables& tunables,
-                     scheduler::FollowerLeases& follower_leases, std::uint64_t incarnation, Callbacks callbacks);
+    HeartbeatService(net::Executor ex, const config::Settings& settings,
+                     const config::OperatorSettings& operator_settings, scheduler::FollowerLeases& follower_leases,
+                     std::uint64_t incarnation, Callbacks callbacks);
 
     // POST /agent/beat
     awaitable<net::Reply> handle(std::string body);
     // From another controller.
-    void received(const peer::StatusMessage& status);
-    void relayed(const peer::RelayMessage& message);
+    void peer_status_received(const peer::StatusMessage& status);
+    void relay_message_received(const peer::RelayMessage& message);
     void link_lost(const std::string& member) { relay_.link_lost(member); }
     // What this controller says of itself.
-    void describe(peer::StatusMessage& status);
+    void fill_status(peer::StatusMessage& status);
     // A term of this controller has begun or ended.
     void term_changed() { relayed_.clear(); }
 
@@ -73,7 +74,7 @@
     };
     net::Executor ex_;
     const config::Settings& settings_;
-    const config::Tunables& tunables_;
+    const config::OperatorSettings& operator_settings_;
     scheduler::FollowerLeases& follower_leases_;
     std::uint64_t incarnation_;
     Callbacks callbacks_;
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -29,8 +29,8 @@
 }  // namespace
 
 LeaderTerm::LeaderTerm(net::Executor ex, state::Store& store, cloud::Cloud& cloud, const config::Settings& settings,
-                       const config::Tunables& tunables, const state::RecordFormat& record_format, election::Term term,
-                       bool unsettled, Callbacks callbacks)
+                       const config::OperatorSettings& operator_settings, const state::RecordFormat& record_format,
+                       election::Term term, bool unsettled, Callbacks callbacks)
     : ex_(ex),
       store_(store),
       cloud_(cloud),
@@ -38,12 +38,12 @@
       record_format_(record_format),
       callbacks_(std::move(callbacks)),
       term_(term.number),
-      scheduler_(settings, tunables, record_format, term.number, term.mod_revision, Clock::now()),
+      scheduler_(settings, operator_settings, record_format, term.number, term.mod_revision, Clock::now()),
       hints_(record_format),
       commit_(ex),
       plan_(ex),
       last_awake_(Clock::now()) {
-    if (unsettled) scheduler_.distrust_records();
+    if (unsettled) scheduler_.expect_unrecorded_tasks();
 }
 
 namespace {
@@ -60,7 +60,7 @@
 }  // namespace
 
 void LeaderTerm::start(const std::vector<model::MachineType>& types) {
-    if (!types.empty()) scheduler_.catalog(types);
+    if (!types.empty()) scheduler_.set_machine_types(types);
     auto self = shared_from_this();
     net::asio::co_spawn(ex_, run_loop(self, learn_loop()), net::asio::detached);
     net::asio::co_spawn(ex_, run_loop(self, commit_loop()), net::asio::detached);
@@ -70,7 +70,8 @@
     net::asio::co_spawn(ex_, run_loop(self, tidy_loop()), net::asio::detached);
     net::asio::co_spawn(ex_, run_loop(self, missing_loop()), net::asio::detached);
     net::asio::co_spawn(ex_, run_loop(self, hints_loop()), net::asio::detached);
-    if (scheduler_.unsettled()) net::asio::co_spawn(ex_, run_loop(self, settle_loop()), net::asio::detached);
+    if (scheduler_.awaiting_reconciliation())
+        net::asio::co_spawn(ex_, run_loop(self, settle_loop()), net::asio::detached);
 }
 
 void LeaderTerm::stop() {
@@ -79,7 +80,7 @@
     plan_.notify();
 }
 
-void LeaderTerm::catalog(const std::vector<model::MachineType>& types) { scheduler_.catalog(types); }
+void LeaderTerm::catalog(const std::vector<model::MachineType>& types) { scheduler_.set_machine_types(types); }
 
 bool LeaderTerm::entitled(TimePoint now) const {
     if (!loaded_ || stopped_) return false;
@@ -114,8 +115,8 @@
     const auto now = awake();
     if (!entitled(now)) return out;
     const bool was_dirty = scheduler_.dirty();
-    out.commands = scheduler_.report(r, now);
-    if (scheduler_.loss_seen()) callbacks_.loss("a worker holds an attempt that is not on record", true);
+    out.commands = scheduler_.handle_heartbeat(r, now);
+    if (scheduler_.take_loss_evidence()) callbacks_.loss("a worker holds an attempt that is not on record", true);
     if (!out.commands) return out;
     if (scheduler_.dirty()) {
         if (!was_dirty) commit_.notify();
@@ -123,7 +124,8 @@
         plan_.notify();
     }
     out.passes = scheduler_.passes();
-    out.wait = out.commands->empty() && scheduler_.prospect(r, out.passes) != scheduler::Scheduler::Prospect::nothing;
+    out.wait =
+        out.commands->empty() && scheduler_.expected_work(r, out.passes) != scheduler::Scheduler::Prospect::nothing;
     return out;
 }
 
@@ -133,12 +135,12 @@
     auto self = shared_from_this();
     using Prospect = scheduler::Scheduler::Prospect;
     for (auto held = 0ms; decision.commands->empty(); held += hold_step) {
-        const auto prospect = scheduler_.prospect(r, decision.passes);
+        const auto prospect = scheduler_.expected_work(r, decision.passes);
         if (prospect == Prospect::nothing || held >= (prospect == Prospect::a_write ? hold_for_write : hold_for_plan))
             break;
         co_await net::sleep_for(hold_step);
         if (!entitled(Clock::now())) co_return std::nullopt;
-        *decision.commands = scheduler_.runs(r);
+        *decision.commands = scheduler_.pending_runs(r);
     }
     co_return std::move(decision.commands);
 }
@@ -150,7 +152,7 @@
 
 void LeaderTerm::cancelled_elsewhere(const std::string& uid) {
     if (!loaded_ || stopped_) return;
-    if (scheduler_.cancelled_elsewhere(uid, Clock::now())) wake();
+    if (scheduler_.cancelled_by_peer(uid, Clock::now())) wake();
 }
 
 // Something changed: write what must be written, and plan again.
@@ -193,7 +195,7 @@
     // being read: the watch tells it too, but not in an outage that begins now, and cancellations_known_until goes by
     // it.
     for (const auto& uid : scheduler_.open_jobs())
-        if (callbacks_.told_cancelled(uid)) scheduler_.cancelled_elsewhere(uid, Clock::now());
+        if (callbacks_.told_cancelled(uid)) scheduler_.cancelled_by_peer(uid, Clock::now());
     followed_ = work->revision;
     fresh_ = began;
     if (!loaded_) loaded_at_ = Clock::now();
@@ -229,12 +231,12 @@
 }
 
 void LeaderTerm::ended(const std::string& uid) {
-    scheduler_.ended(uid, Clock::now(), callbacks_.cancelled_for(uid));
+    scheduler_.job_over(uid, Clock::now(), callbacks_.cancelled_for(uid));
     callbacks_.over_already(uid);
 }
 
 bool LeaderTerm::heard_out() const {
-    return loaded_ && Clock::now() - loaded_at_ > model::to_clock(settings_.report * 1.25 + Seconds(3));
+    return loaded_ && Clock::now() - loaded_at_ > model::to_clock(settings_.heartbeat_interval * 1.25 + Seconds(3));
 }
 
 // What is remembered to be open is on record, or over by now. Where it is neither, the store passes the answer on to
@@ -262,7 +264,7 @@
             if (stopped_) co_return;
             if (got.outcome == Outcome::ok) {
                 if (got.item.mod_revision) callbacks_.seen(got.item);
-                scheduler_.reread(got.item, Clock::now());
+                scheduler_.record_reread(got.item, Clock::now());
                 break;
             }
             co_await net::sleep_for(200ms);
@@ -294,7 +296,7 @@
             if (!seen.deleted[i]) callbacks_.seen(seen.events[i]);
         for (std::size_t i = 0; i < seen.events.size(); ++i) {
             // A record that was gone when this term read all, and was put back since, may name places where tasks are.
-            if (!seen.deleted[i] && scheduler_.older_than(seen.events[i], callbacks_.over)) {
+            if (!seen.deleted[i] && scheduler_.is_behind(seen.events[i], callbacks_.over)) {
                 callbacks_.again("a record came back that this term has not read");
                 co_return;
             }
@@ -321,7 +323,7 @@
             if (stopped_) co_return;
             if (result.outcome == Outcome::ok) {
                 last_outcome = Outcome::ok;
-                if (scheduler_.committed(batch, result.revision, Clock::now())) {
+                if (scheduler_.batch_committed(batch, result.revision, Clock::now())) {
                     stir_ = true;  // what waited for that may start
                     plan_.notify();
                 }
@@ -331,7 +333,7 @@
                 std::find(result.failed.begin(), result.failed.end(), election::term_key) != result.failed.end()) {
                 spdlog::info("event=term_superseded term={}", term_);
                 callbacks_.doubt();
-                scheduler_.retry(batch);
+                scheduler_.batch_failed(batch);
                 co_await net::sleep_for(200ms);
                 continue;
             }
@@ -341,7 +343,7 @@
                         result.failed.size());
             last_outcome = result.outcome;
             if (result.outcome == Outcome::too_large) {
-                scheduler_.rejected(batch, Clock::now());
+                scheduler_.batch_rejected(batch, Clock::now());
                 co_await net::sleep_for(150ms);
                 continue;
             }
@@ -352,7 +354,7 @@
                 co_await reread(result.outcome == Outcome::conflict ? result.failed : batch.keys);
             }
             if (stopped_) co_return;
-            scheduler_.retry(batch);
+            scheduler_.batch_failed(batch);
         }
     }
 }
@@ -362,12 +364,12 @@
     while (!stopped_) {
         co_await net::sleep_for(tidy_gap);
         if (stopped_ || !loaded_) continue;
-        auto txn = scheduler_.leftovers(store_.write_portion());
+        auto txn = scheduler_.take_garbage(store_.write_portion());
         if (txn.changes.empty()) continue;
         auto sent = txn;
         const auto result = co_await store_.commit(std::move(sent), RequestPriority::garbage_collection);
         // After a conflict they are somebody else's; a later leader finds what nobody has removed.
-        if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict) scheduler_.keep_leftovers(txn);
+        if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict) scheduler_.garbage_kept(txn);
     }
 }
 
@@ -377,7 +379,7 @@
     while (!stopped_) {
         co_await net::sleep_for(missing_gap);
         if (stopped_ || !loaded_) continue;
-        const auto keys = scheduler_.missing();
+        const auto keys = scheduler_.keys_to_read();
         for (const auto& key : keys) {
             auto got = co_await store_.get(key, RequestPriority::bookkeeping);
             if (stopped_) co_return;
@@ -411,7 +413,7 @@
 
 // Once all that may be on machines is known again, the leaders after this one need not ask.
 awaitable<void> LeaderTerm::settle_loop() {
-    while (!stopped_ && scheduler_.unsettled()) co_await net::sleep_for(1s);
+    while (!stopped_ && scheduler_.awaiting_reconciliation()) co_await net::sleep_for(1s);
     while (!stopped_) {
         state::Txn txn;
         txn.conditions.push_back({election::term_key, scheduler_.term_revision()});
@@ -449,7 +451,7 @@
         }
         if (loaded_ && now >= next_improve) {
             next_improve = now + 1s;
-            scheduler_.improve(now);
+            scheduler_.relocate(now);
             if (scheduler_.dirty()) commit_.notify();
         }
         if (now >= next_summary && spdlog::should_log(spdlog::level::debug)) {
@@ -461,11 +463,11 @@
 }
 
 awaitable<void> LeaderTerm::list_loop() {
-    const auto gap = model::to_clock(std::max(settings_.list_lag, Seconds(5)));
+    const auto gap = model::to_clock(std::max(settings_.machine_list_lag, Seconds(5)));
     while (!stopped_) {
         auto list = co_await cloud_.machines();
         if (stopped_) break;
-        if (list && loaded_) scheduler_.listed(*list, Clock::now());
+        if (list && loaded_) scheduler_.machines_listed(*list, Clock::now());
         co_await net::sleep_for(list ? gap : 2s);
     }
 }
@@ -482,24 +484,24 @@
 }
 
 awaitable<void> LeaderTerm::return_machines() {
-    if (scheduler_.release(awake()).empty()) co_return;
+    if (scheduler_.scale_in(awake()).empty()) co_return;
     const auto leading = co_await still_leading();
     if (leading == Leads::no) co_return;
-    auto leaving = scheduler_.release(awake());
+    auto leaving = scheduler_.scale_in(awake());
     // In an outage nobody else can win a term, and cancelled work on a machine that hangs must be gone in time all the
     // same. If somebody could after all, a machine is returned that he uses: work is lost, and no rule broken.
     if (leading == Leads::unknown) {
         if (callbacks_.others_reach_state()) co_return;
         std::erase_if(leaving, [](const scheduler::Release& r) { return r.why != scheduler::cancelled_work; });
     }
-    scheduler_.releasing(leaving);
+    scheduler_.release_requested(leaving);
     std::vector<std::string> names;
     names.reserve(leaving.size());
     for (const auto& r : leaving) names.push_back(r.machine);
     if (names.empty()) co_return;
     const bool done = co_await cloud_.release(names);
     if (!done || stopped_) co_return;
-    scheduler_.released(names, Clock::now());
+    scheduler_.machines_released(names, Clock::now());
     wake();
 }
 
@@ -507,7 +509,7 @@
 // another pool may meet at once.
 awaitable<bool> LeaderTerm::rent_machines() {
     if (unclear_.empty())
-        for (auto& order : scheduler_.rent(awake())) {
+        for (auto& order : scheduler_.scale_out(awake())) {
             // Named after the term, so that no two leaders ever use the same name.
             unclear_.push_back({order, std::to_string(term_) + "-" + std::to_string(++rents_), 0});
         }
@@ -529,9 +531,9 @@
         const auto now = Clock::now();
         const auto got = static_cast<int>(result.machines.size());
         if (result.outcome == cloud::Rent::granted) {
-            spdlog::info("event=machines_launched request={} type={} zone={} spot={} asked={} got={}", rental.name, pool.type,
-                         pool.zone, pool.spot, rental.order.count, got);
-            scheduler_.rented(pool, result.machines, now);
+            spdlog::info("event=machines_launched request={} type={} zone={} spot={} asked={} got={}", rental.name,
+                         pool.type, pool.zone, pool.spot, rental.order.count, got);
+            scheduler_.machines_launched(pool, result.machines, now);
         } else if (result.outcome == cloud::Rent::unclear) {
             // Asked again under the same name: if it was granted, the same machines are named.
             if (rental.tries < max_tries) unclear_.push_back(std::move(rental));
@@ -540,7 +542,7 @@
             spdlog::info("event=launch_refused type={} zone={} spot={}", pool.type, pool.zone, pool.spot);
         }
         if (got < rental.order.count) {
-            scheduler_.rent_refused(pool, now);
+            scheduler_.launch_refused(pool, now);
             again = true;
         }
     }
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -40,8 +40,8 @@
     };
 
     LeaderTerm(net::Executor ex, state::Store& store, cloud::Cloud& cloud, const config::Settings& settings,
-               const config::Tunables& tunables, const state::RecordFormat& record_format, election::Term term,
-               bool unsettled, Callbacks callbacks);
+               const config::OperatorSettings& operator_settings, const state::RecordFormat& record_format,
+               election::Term term, bool unsettled, Callbacks callbacks);
 
     void start(const std::vector<model::MachineType>& types);
     void stop();
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -9,10 +9,10 @@
 }
 }  // namespace
 
-Node::Node(net::asio::io_context& io, config::Settings settings, config::Tunables tunables)
+Node::Node(net::asio::io_context& io, config::Settings settings, config::OperatorSettings operator_settings)
     : ex_(io.get_executor()),
       settings_(std::move(settings)),
-      tunables_(std::move(tunables)),
+      operator_settings_(std::move(operator_settings)),
       record_format_(settings_),
       store_(ex_, settings_, record_format_),
       cloud_(ex_, settings_),
@@ -21,9 +21,12 @@
              {[this](const peer::StatusMessage& b) { controller_.received(b); },
               [this](const peer::RelayMessage& m) { controller_.relayed(m); },
               [this](const std::string& member) { controller_.link_lost(member); }}),
-      controller_(ex_, settings_, tunables_, record_format_,
-                  {store_, cloud_, workers_, [this](const peer::StatusMessage& b) { peers_.tell(b); }, time_of_day_ms,
-                   [this](const std::string& member, const peer::RelayMessage& m) { return peers_.relay(member, m); }}),
+      controller_(
+          ex_, settings_, operator_settings_, record_format_,
+          {store_, cloud_, workers_, [this](const peer::StatusMessage& b) { peers_.broadcast(b); }, time_of_day_ms,
+           [this](const std::string& member, const peer::RelayMessage& m) {
+               return peers_.send_relay_message(member, m);
+           }}),
       // Some sockets are needed for our own connections.
       server_(ex_, settings_.listen.host, settings_.listen.port,
               settings_.max_sockets - std::min<std::size_t>(settings_.max_sockets / 4, 64),
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -10,13 +10,13 @@
 
 class Node {
   public:
-    Node(net::asio::io_context& io, config::Settings settings, config::Tunables tunables);
+    Node(net::asio::io_context& io, config::Settings settings, config::OperatorSettings operator_settings);
     void start();
 
   private:
     net::Executor ex_;
     config::Settings settings_;
-    config::Tunables tunables_;
+    config::OperatorSettings operator_settings_;
     state::RecordFormat record_format_;
     state::HttpStore store_;
     cloud::HttpCloud cloud_;
--- a/src/app/worker_assignment.cpp
+++ b/src/app/worker_assignment.cpp
@@ -27,8 +27,8 @@
 constexpr std::size_t most_remembered = 100'000;
 }  // namespace
 
-WorkerAssignment::WorkerAssignment(const config::Settings& settings, const config::Tunables& tunables)
-    : settings_(settings), tunables_(tunables) {
+WorkerAssignment::WorkerAssignment(const config::Settings& settings, const config::OperatorSettings& operator_settings)
+    : settings_(settings), operator_settings_(operator_settings) {
     for (const auto& peer : settings.peers) peers_[peer.member].zone = peer.zone;
 }
 
@@ -40,16 +40,16 @@
 std::uint32_t WorkerAssignment::capacity(bool leading) const {
     const auto sockets = static_cast<double>(settings_.max_sockets - std::min(settings_.max_sockets / 4, own_sockets));
     double out = sockets * sockets_for_workers;
-    if (settings_.core_share > 0) {
+    if (settings_.cpu_share > 0) {
         const double reports_a_second =
-            settings_.core_share * (leading ? leader_time / direct_report_s : follower_time / relayed_report_s);
-        out = std::min(out, reports_a_second * settings_.report.count());
+            settings_.cpu_share * (leading ? leader_time / direct_report_s : follower_time / relayed_report_s);
+        out = std::min(out, reports_a_second * settings_.heartbeat_interval.count());
     }
-    if (leading) out *= tunables_.direct_share;
+    if (leading) out *= operator_settings_.direct_share;
     return static_cast<std::uint32_t>(out);
 }
 
-void WorkerAssignment::heard(const std::string& member, const Load& load, TimePoint now) {
+void WorkerAssignment::peer_load_received(const std::string& member, const Load& load, TimePoint now) {
     auto& peer = peers_[member];
     peer.load = load;
     peer.sent = 0;
@@ -68,7 +68,7 @@
 }
 
 void WorkerAssignment::rotate(TimePoint now) {
-    if (now - period_since_ < model::to_clock(settings_.report * served_reports)) return;
+    if (now - period_since_ < model::to_clock(settings_.heartbeat_interval * served_reports)) return;
     ++period_;
     period_since_ = now;
     last_period_ = std::exchange(this_period_, 0);
--- a/src/app/worker_assignment.hpp
+++ b/src/app/worker_assignment.hpp
@@ -14,7 +14,7 @@
 
 class WorkerAssignment {
   public:
-    WorkerAssignment(const config::Settings& settings, const config::Tunables& tunables);
+    WorkerAssignment(const config::Settings& settings, const config::OperatorSettings& operator_settings);
 
     // What another controller says of itself.
     struct Load {
@@ -22,7 +22,7 @@
         std::uint32_t workers = 0, capacity = 0;
         std::uint32_t fleet = 0;  // from a leader: machines that it knows of; 0: not told
     };
-    void heard(const std::string& member, const Load& load, model::TimePoint now);
+    void peer_load_received(const std::string& member, const Load& load, model::TimePoint now);
 
     // The controller that a worker which has reported here is sent to; nothing: it is served here.
     std::optional<std::string> at_leader(const std::string& machine, const std::string& zone, model::TimePoint now);
@@ -53,7 +53,7 @@
     bool leader_has_room(const Peer& leader) const;
 
     const config::Settings& settings_;
-    const config::Tunables& tunables_;
+    const config::OperatorSettings& operator_settings_;
     std::map<std::string, Peer> peers_;
     std::uint32_t fleet_ = 0;
     model::TimePoint fleet_told_{};
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 HttpCloud::HttpCloud(net::Executor ex, const config::Settings& s)
-    : http_(ex, s.cloud.host, s.cloud.port, 4), gap_(model::to_clock(model::Seconds(1.15 / s.cloud_rps))) {}
+    : http_(ex, s.cloud.host, s.cloud.port, 4), gap_(model::to_clock(model::Seconds(1.15 / s.cloud_requests_per_s))) {}
 
 awaitable<net::HttpAnswer> HttpCloud::call(net::http::verb verb, std::string target, std::string body) {
     // Evenly spaced, which keeps any window within the limit without counting on the burst.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -114,12 +114,12 @@
 
 namespace {
 // What is not named stays as it is at present, where there is a present.
-StateLimits limits_of(const Fields& f, const StateLimits* present) {
+StoreLimits limits_of(const Fields& f, const StoreLimits* present) {
     const auto amount = [&](const char* key, double now, double least) {
         return f.amount(key, present ? std::optional(now) : std::nullopt, least);
     };
-    const StateLimits was = present ? *present : StateLimits{};
-    StateLimits l;
+    const StoreLimits was = present ? *present : StoreLimits{};
+    StoreLimits l;
     l.rps = amount("rps", was.rps, 1);
     l.write_rps = amount("write_rps", was.write_rps, 1);
     l.value_bytes = static_cast<std::size_t>(amount("value_kb", double(was.value_bytes) / 1024, 1) * 1024);
@@ -157,7 +157,7 @@
     s.state = services.address("state");
 
     const auto cluster = top.section("cluster");
-    s.nodes = static_cast<std::size_t>(cluster.amount("nodes", static_cast<double>(s.peers.size() + 1), 1));
+    s.controllers = static_cast<std::size_t>(cluster.amount("nodes", static_cast<double>(s.peers.size() + 1), 1));
     s.zones = cluster.texts("zones");
     cluster.each("teams", [&](const Fields& f) {
         s.teams.push_back({f.text("name"), f.amount("cpus", 0), f.amount("cpus_max", 0), f.amount("gpus", 0),
@@ -168,28 +168,28 @@
             {f.text("kind"), f.text("class"), Seconds(f.amount("within_s", 0)), f.amount("share", 0)});
     });
     const auto workers = cluster.section("workers");
-    s.report = workers.duration("report_s");
-    s.lease = workers.duration("lease_s");
-    s.gang_wait = workers.duration("gang_wait_s");
-    s.gang_peer = workers.duration("gang_peer_s");
-    s.cancel = workers.duration("cancel_s");
+    s.heartbeat_interval = workers.duration("report_s");
+    s.worker_lease = workers.duration("lease_s");
+    s.gang_barrier_timeout = workers.duration("gang_wait_s");
+    s.gang_failure_detection = workers.duration("gang_peer_s");
+    s.cancel_deadline = workers.duration("cancel_s");
     const auto state = cluster.section("state");
-    s.limits = limits_of(state, nullptr);
-    if (state.has("next")) s.next_limits = limits_of(state.section("next"), &s.limits);
+    s.store_limits = limits_of(state, nullptr);
+    if (state.has("next")) s.next_store_limits = limits_of(state.section("next"), &s.store_limits);
     const auto cloud = cluster.section("cloud");
-    s.cloud_rps = cloud.amount("rps", std::nullopt, 0.1);
-    s.list_lag = Seconds(cloud.amount("list_lag_s"));
+    s.cloud_requests_per_s = cloud.amount("rps", std::nullopt, 0.1);
+    s.machine_list_lag = Seconds(cloud.amount("list_lag_s"));
     if (const auto* table = cluster.table("limits")) {
         const Fields limits(*table, "cluster.limits");
         s.max_sockets = static_cast<std::size_t>(limits.amount("max_sockets", static_cast<double>(s.max_sockets), 16));
-        s.core_share = limits.amount("core_share", s.core_share);
+        s.cpu_share = limits.amount("core_share", s.cpu_share);
     }
     return s;
 }
 
 Settings load_settings(const std::string& path) { return parse_settings(read_file(path), path); }
 
-Tunables parse_tunables(const std::string& text, const std::string& name) {
+OperatorSettings parse_operator_settings(const std::string& text, const std::string& name) {
     namespace pt = boost::property_tree;
     pt::ptree tree;
     std::istringstream in(text);
@@ -198,7 +198,7 @@
     } catch (const pt::ini_parser_error& e) {
         throw ConfigError(name + ": line " + std::to_string(e.line()) + ": " + e.message());
     }
-    Tunables t;
+    OperatorSettings t;
     const auto number = [&](const std::string& key, const std::string& value, double least, double most) {
         double v = 0;
         const auto* end = value.data() + value.size();
@@ -219,26 +219,27 @@
         return [&, least, most](const std::string& k, const std::string& v) { into = number(k, v, least, most); };
     };
     const std::map<std::string, std::function<void(const std::string&, const std::string&)>> known{
-        {"placement.window_s", seconds_into(t.window, 0.1, 600)},
+        {"placement.window_s", seconds_into(t.batching_window, 0.1, 600)},
         {"placement.memory_margin", amount_into(t.memory_margin, 0, 10)},
-        {"placement.ageing", amount_into(t.ageing, 0, 1000)},
-        {"fleet.silent_s", seconds_into(t.silent, 1, 3600)},
-        {"fleet.boot_patience", amount_into(t.boot_patience, 1, 100)},
-        {"fleet.idle_boots", amount_into(t.idle_boots, 0, 100)},
-        {"fleet.spare", amount_into(t.spare, 0, 1)},
-        {"fleet.spare_patience", amount_into(t.spare_patience, 0, 1000)},
-        {"fleet.horizon", amount_into(t.horizon, 0.05, 10)},
-        {"fleet.dear", amount_into(t.dear, 1, 1000)},
-        {"fleet.sparse", amount_into(t.sparse, 1, 1000)},
-        {"api.known_jobs", amount_into(t.known_jobs, 1, 10'000'000)},
-        {"workers.relay", [&](const std::string& k, const std::string& v) { t.relay = number(k, v, 0, 1) != 0; }},
+        {"placement.ageing", amount_into(t.aging_rate, 0, 1000)},
+        {"fleet.silent_s", seconds_into(t.silent_timeout, 1, 3600)},
+        {"fleet.boot_patience", amount_into(t.boot_timeout_factor, 1, 100)},
+        {"fleet.idle_boots", amount_into(t.idle_timeout_factor, 0, 100)},
+        {"fleet.spare", amount_into(t.spare_capacity_share, 0, 1)},
+        {"fleet.spare_patience", amount_into(t.spare_timeout_factor, 0, 1000)},
+        {"fleet.horizon", amount_into(t.array_horizon, 0.05, 10)},
+        {"fleet.dear", amount_into(t.array_price_limit, 1, 1000)},
+        {"fleet.sparse", amount_into(t.service_price_limit, 1, 1000)},
+        {"api.known_jobs", amount_into(t.job_cache_size, 1, 10'000'000)},
+        {"workers.relay",
+         [&](const std::string& k, const std::string& v) { t.relay_heartbeats = number(k, v, 0, 1) != 0; }},
         {"workers.direct_share", amount_into(t.direct_share, 0, 1)},
         {"election.lease_s", seconds_into(t.election_lease, 0.5, 60)},
         {"recovery.directory",
          [&](const std::string& k, const std::string& v) {
              if (!v.starts_with('/'))
                  throw ConfigError(name + ": " + k + ": expected an absolute path, found \"" + v + '"');
-             t.snapshots = v;
+             t.snapshot_directory = v;
          }},
     };
     for (const auto& [section, entries] : tree) {
@@ -249,8 +250,9 @@
             if (section == "groups") {
                 std::istringstream types(value);
                 std::string type;
-                while (types >> type) t.groups[key].push_back(type);
-                if (t.groups[key].empty()) throw ConfigError(name + ": " + path + ": expected names of machine types");
+                while (types >> type) t.machine_type_groups[key].push_back(type);
+                if (t.machine_type_groups[key].empty())
+                    throw ConfigError(name + ": " + path + ": expected names of machine types");
                 continue;
             }
             const auto it = known.find(path);
@@ -265,6 +267,8 @@
     return t;
 }
 
-Tunables load_tunables(const std::string& path) { return parse_tunables(read_file(path), path); }
+OperatorSettings load_operator_settings(const std::string& path) {
+    return parse_operator_settings(read_file(path), path);
+}
 
 }  // namespace flintdale::config
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -69,7 +69,7 @@
     return now - *vacant_since_ < nobody_else;
 }
 
-void Elector::heard(std::uint64_t term, const std::string& leader) {
+void Elector::observe_term(std::uint64_t term, const std::string& leader) {
     if (term > seen_term_) {
         seen_term_ = term;
         if (leading_ && term > own_term_) depose("a higher term is about");
@@ -88,7 +88,7 @@
             co_await net::sleep_for(300ms);
             continue;
         }
-        heard(term_number(term.item), text_in(holder.item, "member"));
+        observe_term(term_number(term.item), text_in(holder.item, "member"));
         const bool vacant = holder.item.mod_revision == 0;
         // A claim under our own name, while we do not lead, is that of our previous life or of a lost answer.
         const bool own = !vacant && text_in(holder.item, "member") == member_;
@@ -161,7 +161,7 @@
         if (doubted_) {
             doubted_ = false;
             auto term = co_await store_.get(term_key, RequestPriority::leadership);
-            if (term.outcome == Outcome::ok) heard(term_number(term.item), std::string());
+            if (term.outcome == Outcome::ok) observe_term(term_number(term.item), std::string());
             if (!leading_) break;
         }
         const auto outcome = co_await store_.renew(lease_);
@@ -201,10 +201,10 @@
             const auto& e = seen.events[i];
             if (e.key == term_key && !seen.deleted[i]) {
                 term = e;
-                heard(term_number(e), text_in(e, "member"));
+                observe_term(term_number(e), text_in(e, "member"));
             }
             if (e.key == holder_key && seen.deleted[i]) co_return term;
-            if (e.key == holder_key) heard(seen_term_, text_in(e, "member"));
+            if (e.key == holder_key) observe_term(seen_term_, text_in(e, "member"));
         }
     }
 }
--- a/src/election/elector.hpp
+++ b/src/election/elector.hpp
@@ -35,15 +35,15 @@
 
     // CancellationReport of a term from anywhere (a peer, a worker, a failed transaction). A higher one ends our own at
     // once.
-    void heard(std::uint64_t term, const std::string& leader);
+    void observe_term(std::uint64_t term, const std::string& leader);
     // A condition on the term's stamp failed: find out what happened.
-    void doubt() { doubted_ = true, wake_.notify(); }
+    void verify_leadership() { doubted_ = true, wake_.notify(); }
 
     // Gives the term up, so that another controller can win the next one: this one can renew its claim but not do the
     // work. It does not stand again for a while, unless nobody else does.
     void resign(const char* why);
     // Ends the term, and claims the next one at once if nobody else does.
-    void again(const char* why) { depose(why); }
+    void restart_term(const char* why) { depose(why); }
 
     bool leading() const { return leading_; }
     std::uint64_t term() const { return seen_term_; }
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -29,7 +29,7 @@
       own_teams_(quota::table_of(settings.teams)),
       teams_(own_teams_),
       member_(settings.member),
-      nodes_(settings.nodes) {
+      nodes_(settings.controllers) {
     names_.push_back(settings.member);
     for (const auto& peer : settings.peers) names_.push_back(peer.member);
 }
@@ -77,7 +77,7 @@
     co_return result.outcome == Outcome::ok;
 }
 
-awaitable<void> Members::enroll_again() {
+awaitable<void> Members::restore_enrollment() {
     for (;;) {
         const bool there = co_await enroll();
         if (there) co_return;
--- a/src/election/members.hpp
+++ b/src/election/members.hpp
@@ -21,7 +21,7 @@
 
     awaitable<void> run();
     // Puts this controller's key in place again, where it may have been lost.
-    awaitable<void> enroll_again();
+    awaitable<void> restore_enrollment();
     // Whether this controller's own key is there.
     bool enrolled() const { return enrolled_; }
 
--- a/src/load_test/cloud_server.cpp
+++ b/src/load_test/cloud_server.cpp
@@ -35,7 +35,7 @@
       rentals_(rentals),
       scenario_(scenario),
       links_(std::move(links)),
-      calls_(settings.cloud_rps, burst_s, events.now()),
+      calls_(settings.cloud_requests_per_s, burst_s, events.now()),
       server_(ex, settings.cloud.host, settings.cloud.port, most_connections,
               [this](net::Request request) { return handle(std::move(request)); }) {}
 
--- a/src/load_test/hollow_workers.cpp
+++ b/src/load_test/hollow_workers.cpp
@@ -209,7 +209,7 @@
     out.counts = counts();
     out.counts.up = fleet_.up();
     for (std::size_t n = 0; n < plan_.controllers; ++n) {
-        out.by_controller.push_back(fleet_.answered_by(n, settings_.report * connected_reports));
+        out.by_controller.push_back(fleet_.answered_by(n, settings_.heartbeat_interval * connected_reports));
         out.counts.connected += out.by_controller.back();
     }
     out.answers = answers_;
--- a/src/load_test/load_test.cpp
+++ b/src/load_test/load_test.cpp
@@ -50,7 +50,7 @@
       checker_(settings_, start_),
       deployment_(ex, plan, programs.daemon, programs.directory),
       workers_(ex, plan, programs.hollow, programs.directory, [this](const Progress& p) { heard(p); }),
-      state_(ex, events_, settings_.limits, plan.addresses.state()),
+      state_(ex, events_, settings_.store_limits, plan.addresses.state()),
       cloud_(ex, events_, rentals_, plan.scenario, settings_,
              {[this](const simulator::Rented& m) {
                   workers_.send(m.zone, AddMachine{m.name, m.address, m.type->name, m.zone, m.spot,
@@ -314,7 +314,7 @@
                      {"seed", plan_.seed},
                      {"operator_config", std::filesystem::path(plan_.operator_config).filename().string()},
                      {"scenario", plan_.scenario.name},
-                     {"report_s", settings_.report.count()},
+                     {"report_s", settings_.heartbeat_interval.count()},
                      {"length_s", plan_.length.count()},
                      {"restarts_a_day", plan_.restarts_a_day},
                      {"deaths_a_day", plan_.deaths_a_day},
--- a/src/load_test/state_server.cpp
+++ b/src/load_test/state_server.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-StateServer::StateServer(net::Executor ex, simulator::Events& events, const config::StateLimits& limits,
+StateServer::StateServer(net::Executor ex, simulator::Events& events, const config::StoreLimits& limits,
                          const config::Address& address)
     : events_(events),
       keys_(events),
--- a/src/load_test/state_server.hpp
+++ b/src/load_test/state_server.hpp
@@ -14,7 +14,7 @@
     struct Counts {
         std::uint64_t requests = 0, writes = 0, refused = 0;
     };
-    StateServer(net::Executor ex, simulator::Events& events, const config::StateLimits& limits,
+    StateServer(net::Executor ex, simulator::Events& events, const config::StoreLimits& limits,
                 const config::Address& address);
     void start() { server_.start(); }
 
@@ -33,7 +33,7 @@
 
     simulator::Events& events_;
     simulator::Keys keys_;
-    config::StateLimits limits_;
+    config::StoreLimits limits_;
     RateLimit requests_, writes_;
     Counts counts_;
     net::HttpServer server_;
--- a/src/peer/cancellations.cpp
+++ b/src/peer/cancellations.cpp
@@ -16,7 +16,7 @@
 
 Cancellations::Cancellations(const config::Settings& settings) : settings_(settings) {}
 
-model::Clock::duration Cancellations::span() const { return model::to_clock(settings_.cancel * spans); }
+model::Clock::duration Cancellations::span() const { return model::to_clock(settings_.cancel_deadline * spans); }
 
 bool Cancellations::note(const std::string& uid, TimePoint now) {
     if (!known_.try_emplace(uid, now).second) return false;
@@ -24,7 +24,7 @@
     return true;
 }
 
-CancellationReport Cancellations::say(TimePoint now) {
+CancellationReport Cancellations::make_report(TimePoint now) {
     // What is named for the last time is remembered for as long again, so that no two peers go on telling each other.
     for (; !lately_.empty() && now - lately_.front().first > span(); lately_.pop_front())
         to_forget_.push_back(std::move(lately_.front()));
@@ -42,8 +42,8 @@
     return out;
 }
 
-void Cancellations::heard(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
-                          const CancellationReport& report, TimePoint now) {
+void Cancellations::report_received(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
+                                    const CancellationReport& report, TimePoint now) {
     if (!incarnation || !report.number) return;  // a version that does not say
     auto& peer = peers_[member];
     if (peer.incarnation != incarnation) {
@@ -62,13 +62,13 @@
     }
 }
 
-bool Cancellations::has_heard(const std::string& member, TimePoint noted) const {
+bool Cancellations::has_received(const std::string& member, TimePoint noted) const {
     const auto it = peers_.find(member);
     return it != peers_.end() && it->second.answers > noted;
 }
 
-TimePoint Cancellations::known_at(TimePoint looked, TimePoint now) const {
-    if (settings_.peers.empty() || settings_.peers.size() + 1 != settings_.nodes) return looked;
+TimePoint Cancellations::all_known_until(TimePoint looked, TimePoint now) const {
+    if (settings_.peers.empty() || settings_.peers.size() + 1 != settings_.controllers) return looked;
     if (now - looked > span() - margin) return looked;
     auto out = TimePoint::max();
     for (const auto& p : settings_.peers) {
--- a/src/peer/cancellations.hpp
+++ b/src/peer/cancellations.hpp
@@ -43,17 +43,17 @@
     bool knows(const std::string& uid) const { return known_.contains(uid); }
 
     // For a message to the peers, which must leave after this call.
-    CancellationReport say(model::TimePoint now);
+    CancellationReport make_report(model::TimePoint now);
 
     // A message of a peer, of that incarnation of it: what it told has been noted already. `own_incarnation`: this
     // controller's.
-    void heard(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
-               const CancellationReport& report, model::TimePoint now);
+    void report_received(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
+                         const CancellationReport& report, model::TimePoint now);
 
     // Whatever users were told before then is noted here, if all that was on record at `looked` is known.
-    model::TimePoint known_at(model::TimePoint looked, model::TimePoint now) const;
+    model::TimePoint all_known_until(model::TimePoint looked, model::TimePoint now) const;
     // Whether the peer is known to have heard all that was noted here until then.
-    bool has_heard(const std::string& member, model::TimePoint noted) const;
+    bool has_received(const std::string& member, model::TimePoint noted) const;
     // For how long a peer names what it has learned.
     model::Clock::duration span() const;
 
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -121,7 +121,7 @@
     return out + bytes;
 }
 
-void PeerConnections::tell(const StatusMessage& status) {
+void PeerConnections::broadcast(const StatusMessage& status) {
     if (outs_.empty()) return;
     const auto sending = frame(Frame::status, encode(status));
     for (const auto& out : outs_) {
@@ -132,7 +132,7 @@
     }
 }
 
-bool PeerConnections::relay(const std::string& member, const RelayMessage& message) {
+bool PeerConnections::send_relay_message(const std::string& member, const RelayMessage& message) {
     const auto at = std::find_if(outs_.begin(), outs_.end(), [&](const auto& out) { return out->member == member; });
     if (at == outs_.end() || !(*at)->connected) return false;
     const auto sending = frame(Frame::relay, encode(message));
--- a/src/peer/peer_connections.hpp
+++ b/src/peer/peer_connections.hpp
@@ -50,9 +50,9 @@
     PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive);
     void start();
     // Sends it to that controller; false if it cannot be reached now, or too much waits for it already.
-    bool relay(const std::string& member, const RelayMessage& message);
+    bool send_relay_message(const std::string& member, const RelayMessage& message);
     // Says it to every peer that can be reached now; nothing is kept for those that cannot.
-    void tell(const StatusMessage& status);
+    void broadcast(const StatusMessage& status);
 
   private:
     struct Out {
--- a/src/recovery/consistency_check.cpp
+++ b/src/recovery/consistency_check.cpp
@@ -9,8 +9,8 @@
 using state::Outcome;
 using state::RequestPriority;
 
-awaitable<ConsistencyCheck::Page> ConsistencyCheck::page(std::string prefix, std::string after,
-                                                         RequestPriority priority) {
+awaitable<ConsistencyCheck::Page> ConsistencyCheck::read_page(std::string prefix, std::string after,
+                                                              RequestPriority priority) {
     const auto mark = replica_.mark();
     const auto newest = newest_();
     const auto from = after;
@@ -24,7 +24,7 @@
     co_return out;
 }
 
-awaitable<ConsistencyCheck::Changes> ConsistencyCheck::changes(std::string prefix) {
+awaitable<ConsistencyCheck::Changes> ConsistencyCheck::read_changes(std::string prefix) {
     const auto mark = replica_.mark();
     const auto newest = newest_();
     Changes out;
@@ -33,7 +33,7 @@
     co_return out;
 }
 
-awaitable<ConsistencyCheck::Finding> ConsistencyCheck::look_again(std::string key, RequestPriority priority) {
+awaitable<ConsistencyCheck::Finding> ConsistencyCheck::recheck(std::string key, RequestPriority priority) {
     using Verdict = Finding::Verdict;
     Finding out;
     out.key = key;
--- a/src/recovery/consistency_check.hpp
+++ b/src/recovery/consistency_check.hpp
@@ -25,13 +25,13 @@
         // Of all records of jobs: remembered then, unchanged since, and absent or older. To be looked at again.
         std::vector<std::string> missing;
     };
-    awaitable<Page> page(std::string prefix, std::string after, state::RequestPriority priority);
+    awaitable<Page> read_page(std::string prefix, std::string after, state::RequestPriority priority);
 
     struct Changes {
         state::WatchResult seen;
         bool went_back = false;
     };
-    awaitable<Changes> changes(std::string prefix);
+    awaitable<Changes> read_changes(std::string prefix);
 
     // The very record, read again now. Gone: at `revision` it had the stamp `there` (0: absent), which is older than
     // the one remembered, and nothing that removes records in good order had happened to its job. Whether it is
@@ -42,7 +42,7 @@
         std::uint64_t there = 0, remembered = 0, revision = 0;
         bool damaged = false;  // there, with its stamp, and no longer what was written
     };
-    awaitable<Finding> look_again(std::string key, state::RequestPriority priority);
+    awaitable<Finding> recheck(std::string key, state::RequestPriority priority);
 
   private:
     state::Store& store_;
--- a/src/recovery/record_replica.cpp
+++ b/src/recovery/record_replica.cpp
@@ -29,12 +29,12 @@
     revision_ = revision;
 }
 
-void RecordReplica::recall(const ReplicaContents& snapshot) {
+void RecordReplica::load_snapshot(const ReplicaContents& snapshot) {
     begin(snapshot.generation, snapshot.id, snapshot.revision);
     for (const auto& [key, record] : snapshot.records) {
         json::error_code ec;
         const auto value = json::parse(record.text, ec);
-        if (!ec) hold(key, value, record.mod_revision);
+        if (!ec) store(key, value, record.mod_revision);
     }
 }
 
@@ -45,7 +45,7 @@
     return it == work_.end() ? 0 : it->second.mod_revision;
 }
 
-void RecordReplica::hold(const std::string& key, const json::value& value, std::uint64_t mod_revision) {
+void RecordReplica::store(const std::string& key, const json::value& value, std::uint64_t mod_revision) {
     if (mod_revision_of(key) >= mod_revision) return;
     if (is_final(key) && value.is_object() && has_size(value.get_object())) try {
             const auto& o = value.get_object();
@@ -65,55 +65,56 @@
     work_[key] = {mod_revision, json::serialize(value)};
 }
 
-void RecordReplica::drop(const std::string& key, std::uint64_t mod_revision) {
+void RecordReplica::erase(const std::string& key, std::uint64_t mod_revision) {
     if (!whole_) removed_[key] = mod_revision;
     if (const auto it = work_.find(key); it != work_.end() && it->second.mod_revision < mod_revision) work_.erase(it);
 }
 
-void RecordReplica::page(const std::vector<state::KeyValue>& items) {
+void RecordReplica::add_page(const std::vector<state::KeyValue>& items) {
     for (const auto& item : items) {
         const auto gone = removed_.find(item.key);
-        if (gone == removed_.end() || gone->second < item.mod_revision) hold(item.key, item.value, item.mod_revision);
+        if (gone == removed_.end() || gone->second < item.mod_revision) store(item.key, item.value, item.mod_revision);
     }
 }
 
-void RecordReplica::filled() {
+void RecordReplica::pages_complete() {
     whole_ = true;
     removed_.clear();
 }
 
-std::vector<std::string> RecordReplica::told(const state::WatchResult& changes) {
+std::vector<std::string> RecordReplica::apply_changes(const state::WatchResult& changes) {
     std::vector<std::string> oddities;
     for (std::size_t i = 0; i < changes.events.size(); ++i) {
         const auto& e = changes.events[i];
         if (!changes.deleted[i]) {
-            hold(e.key, e.value, e.mod_revision);
+            store(e.key, e.value, e.mod_revision);
             continue;
         }
         // Work is removed when a job is over, and outcomes never are. While not everything has been read, an outcome
         // may merely not be known yet.
         const auto work = scheduler::parse_work_key(e.key);
-        const bool ordered = work && (!whole_ || over(work->uid) || work_.contains(scheduler::outcome_key(work->uid)));
+        const bool ordered =
+            work && (!whole_ || is_over(work->uid) || work_.contains(scheduler::outcome_key(work->uid)));
         // Without its first record a piece is nobody's, and leaders clear such away.
         const bool nobodys = work && !work->first() && !work_.contains(scheduler::work_key(work->uid, 0));
         if (!ordered && !nobodys) {
             oddities.push_back(e.key);
             continue;  // it is remembered all the more
         }
-        drop(e.key, e.mod_revision);
+        erase(e.key, e.mod_revision);
     }
     revision_ = std::max(revision_, changes.revision);
     return oddities;
 }
 
-void RecordReplica::written(const state::Change& change, std::uint64_t revision) {
+void RecordReplica::apply_own_write(const state::Change& change, std::uint64_t revision) {
     if (change.value)
-        hold(change.key, *change.value, revision);
+        store(change.key, *change.value, revision);
     else
-        drop(change.key, revision);
+        erase(change.key, revision);
 }
 
-bool RecordReplica::knows(const std::string& uid) const {
+bool RecordReplica::knows_job(const std::string& uid) const {
     return finals_.contains(uid) || work_.contains(scheduler::work_key(uid, 0)) ||
            work_.contains(scheduler::outcome_key(uid));
 }
@@ -121,7 +122,7 @@
 std::optional<RecordReplica::Outcome> RecordReplica::outcome_of(const std::string& uid) const {
     if (const auto it = finals_.find(uid); it != finals_.end())
         return Outcome{it->second.state, {it->second.kind, it->second.tasks}};
-    if (!knows(uid)) return std::nullopt;
+    if (!knows_job(uid)) return std::nullopt;
     return Outcome{};
 }
 
@@ -144,7 +145,7 @@
     std::vector<std::string> out;
     for (const auto& [key, record] : work_) {
         const auto work = scheduler::parse_work_key(key);
-        if (work && work->first() && !over(work->uid) && !work_.contains(scheduler::outcome_key(work->uid)))
+        if (work && work->first() && !is_over(work->uid) && !work_.contains(scheduler::outcome_key(work->uid)))
             out.push_back(work->uid);
     }
     return out;
@@ -163,7 +164,7 @@
 
 std::uint64_t RecordReplica::expected(const std::string& key) const {
     if (const auto work = scheduler::parse_work_key(key);
-        work && (over(work->uid) || work_.contains(scheduler::outcome_key(work->uid))))
+        work && (is_over(work->uid) || work_.contains(scheduler::outcome_key(work->uid))))
         return 0;
     const auto mod_revision = mod_revision_of(key);
     return mod_revision <= deferred_mod_revision ? 0 : mod_revision;
--- a/src/recovery/record_replica.hpp
+++ b/src/recovery/record_replica.hpp
@@ -20,20 +20,20 @@
     // in pages.
     void begin(std::uint64_t generation, std::string id, std::uint64_t revision);
     // Takes over what a snapshot held, of a history that is no more.
-    void recall(const ReplicaContents& snapshot);
+    void load_snapshot(const ReplicaContents& snapshot);
 
     // Part of what is on record, read after begin(); filled() once all has been.
-    void page(const std::vector<state::KeyValue>& items);
-    void filled();
+    void add_page(const std::vector<state::KeyValue>& items);
+    void pages_complete();
     // The changes up to that revision, in their order. Of what cannot have happened if nothing was lost the keys are
     // told: an outcome that was removed, or work of a job without one.
-    std::vector<std::string> told(const state::WatchResult& changes);
+    std::vector<std::string> apply_changes(const state::WatchResult& changes);
     // A change that this controller itself has had acknowledged, which it may be told of later.
-    void written(const state::Change& change, std::uint64_t revision);
+    void apply_own_write(const state::Change& change, std::uint64_t revision);
 
-    bool knows(const std::string& uid) const;
+    bool knows_job(const std::string& uid) const;
     // Whether it is over, as far as is known.
-    bool over(const std::string& uid) const { return finals_.contains(uid); }
+    bool is_over(const std::string& uid) const { return finals_.contains(uid); }
     // Since when, by the time of day on record; nothing if that is not known.
     std::optional<std::int64_t> over_since_ms(const std::string& uid) const {
         const auto it = finals_.find(uid);
@@ -92,8 +92,8 @@
         model::JobKind kind = model::JobKind::array;
         model::JobState state = model::JobState::open;
     };
-    void hold(const std::string& key, const boost::json::value& value, std::uint64_t mod_revision);
-    void drop(const std::string& key, std::uint64_t mod_revision);
+    void store(const std::string& key, const boost::json::value& value, std::uint64_t mod_revision);
+    void erase(const std::string& key, std::uint64_t mod_revision);
     std::uint64_t mod_revision_of(const std::string& key) const;
     static std::string text_of(const Final& final);
 
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -108,19 +108,19 @@
       began_(Clock::now()),
       consistency_check_(raw_, replica_, [this] { return newest_remembered(); }) {}
 
-void RecoveryCoordinator::leads(election::Term term) {
+void RecoveryCoordinator::term_won(election::Term term) {
     term_ = term;
     begun_ = false;
     wake_.notify();
 }
 
-void RecoveryCoordinator::deposed() {
+void RecoveryCoordinator::term_lost() {
     term_.reset();
     begun_ = false;
     wake_.notify();
 }
 
-void RecoveryCoordinator::doubt(std::string why, Loss loss) {
+void RecoveryCoordinator::suspect_loss(std::string why, Loss loss) {
     if (rebuilding_) return;
     beyond_memory_ = beyond_memory_ || loss == Loss::beyond_memory;
     records_only_ = records_only_ && loss == Loss::records;
@@ -132,24 +132,24 @@
     wake_.notify();
 }
 
-void RecoveryCoordinator::saw(std::uint64_t term) {
+void RecoveryCoordinator::term_seen(std::uint64_t term) {
     if (term) seen_.insert(term);
     if (seen_.size() > most_terms) seen_.erase(seen_.begin());
 }
 
-void RecoveryCoordinator::forget_doubt() {
+void RecoveryCoordinator::clear_suspicion() {
     doubt_.reset();
     beyond_memory_ = false;
     records_only_ = true;
 }
 
-void RecoveryCoordinator::missed(const std::string& key) {
+void RecoveryCoordinator::record_missing(const std::string& key) {
     if (rebuilding_ || suspects_.size() >= most_suspects) return;
     if (suspects_.insert(key).second) spdlog::info("event=record_missing key={}", key);
     wake_.notify();
 }
 
-void RecoveryCoordinator::heard(const std::string& member, PeerRecordsStatus word) {
+void RecoveryCoordinator::peer_status_received(const std::string& member, PeerRecordsStatus word) {
     word.heard = Clock::now();
     if (word.rebuilding > (known_ ? known_->generation : 0) && !rebuilding_) {
         recheck_ = true;
@@ -168,7 +168,7 @@
     return w;
 }
 
-void RecoveryCoordinator::shown(const model::Heartbeat& report) {
+void RecoveryCoordinator::tasks_reported(const model::Heartbeat& report) {
     if (shown_.size() > max_shown) return;
     for (const auto& t : report.tasks) shown_.insert(t.id.uid);
 }
@@ -177,9 +177,9 @@
 
 awaitable<void> RecoveryCoordinator::run() {
     if (const auto kept = snapshot_file_.newest()) {
-        replica_.recall(*kept);
-        spdlog::info("event=snapshot_loaded records={} generation={} revision={}", kept->records.size(), kept->generation,
-                     kept->revision);
+        replica_.load_snapshot(*kept);
+        spdlog::info("event=snapshot_loaded records={} generation={} revision={}", kept->records.size(),
+                     kept->generation, kept->revision);
     }
     for (;;) {
         const auto known = histories();
@@ -192,21 +192,22 @@
         recheck_ = false;
         const auto marker = state::parse_marker(got.item);
         // What was doubted is settled once somebody rebuilds, or has.
-        if (marker && (!marker->whole() || (known_ && marker->generation > known_->generation))) forget_doubt();
+        if (marker && (!marker->whole() || (known_ && marker->generation > known_->generation))) clear_suspicion();
         if (!marker) {
             guarded_.close();
             if (got.item.mod_revision)
-                co_await declare(got.item.mod_revision, 0, "the marker is damaged");
+                co_await declare_loss(got.item.mod_revision, 0, "the marker is damaged");
             else
                 co_await without_marker(known);
         } else if (!marker->whole()) {
             co_await stand_by(*marker);
         } else if (doubt_) {
-            co_await declare(marker->mod_revision, marker->generation, *doubt_);
+            co_await declare_loss(marker->mod_revision, marker->generation, *doubt_);
         } else if (outdated(*marker, known)) {
-            co_await declare(marker->mod_revision, marker->generation, "another history than this was known before");
+            co_await declare_loss(marker->mod_revision, marker->generation,
+                                  "another history than this was known before");
         } else {
-            co_await attend(*marker);
+            co_await follow_whole_records(*marker);
         }
     }
 }
@@ -247,7 +248,7 @@
 
 awaitable<void> RecoveryCoordinator::without_marker(const std::vector<History>& known) {
     if (!known.empty() || doubt_) {
-        co_await declare(0, 0, doubt_.value_or("the marker is gone"));
+        co_await declare_loss(0, 0, doubt_.value_or("the marker is gone"));
         co_return;
     }
     if (!may_create() || newest_generation() > 0) {
@@ -291,7 +292,7 @@
 }
 
 // From now on nobody relies on the records, on this controller or any other, until one has rebuilt them.
-awaitable<void> RecoveryCoordinator::declare(std::uint64_t over, std::uint64_t generation, std::string why) {
+awaitable<void> RecoveryCoordinator::declare_loss(std::uint64_t over, std::uint64_t generation, std::string why) {
     guarded_.close();
     rebuilding_ = true;
     GenerationMarker w;
@@ -302,17 +303,17 @@
     w.keys_only = doubt_ && records_only_;
     w.mod_revision = over;
     const auto mod_revision = co_await put(w);
-    if (mod_revision) forget_doubt();
+    if (mod_revision) clear_suspicion();
     if (mod_revision)
-        spdlog::error("event=data_loss_declared generation={} why=\"{}\" over={} remembers={} revision={}", w.generation,
-                      why, over, replica_.size(), replica_.revision());
+        spdlog::error("event=data_loss_declared generation={} why=\"{}\" over={} remembers={} revision={}",
+                      w.generation, why, over, replica_.size(), replica_.revision());
     else
         co_await wake_.wait(try_again);
 }
 
 // --- while the records are whole ---
 
-awaitable<void> RecoveryCoordinator::attend(GenerationMarker w) {
+awaitable<void> RecoveryCoordinator::follow_whole_records(GenerationMarker w) {
     const bool news = !known_ || known_->generation != w.generation || known_->id != w.id;
     if (news) {
         certain_at_ = Clock::now();
@@ -320,7 +321,7 @@
         // What is owed counts as on record, so it must be known before anybody is answered.
         RecordReplica next;
         next.begin(w.generation, w.id, 0);
-        const bool read = co_await read_owed(next);
+        const bool read = co_await read_deferred_outcomes(next);
         if (!read) {
             co_await wake_.wait(try_again);
             co_return;
@@ -351,8 +352,8 @@
     rebuilding_ = false;
     if (doubt_) co_return;
     if (!verified_) {
-        if (!following_) co_await look();
-        if (following_) co_await fill();
+        if (!following_) co_await read_changes();
+        if (following_) co_await read_next_page();
         const bool sound = replica_.whole() && co_await verify();
         if (!sound) {
             if (!doubt_) co_await wake_.wait(try_again);
@@ -369,14 +370,14 @@
         }
         if (Clock::now() >= next_look) {
             next_look = Clock::now() + look_gap;
-            co_await look();
+            co_await read_changes();
             if (doubt_) break;
-            co_await fill();
-            if (snapshot_file_.in_use()) shelve();
+            co_await read_next_page();
+            if (snapshot_file_.in_use()) write_snapshot();
         }
         if (former_ && !late_added_ && replica_.whole() && Clock::now() >= next_late_) {
             next_late_ = Clock::now() + try_again;
-            const bool added = co_await add_late();
+            const bool added = co_await add_late_records();
             late_added_ = added;
             if (late_added_) former_until_ = Clock::now() + former_kept;
             if (doubt_) break;
@@ -385,7 +386,7 @@
         if (former_ && late_added_ && Clock::now() >= former_until_) former_.reset();
         if (!suspects_.empty() && Clock::now() >= next_look_again_) {
             next_look_again_ = Clock::now() + try_again;
-            co_await examine(w);
+            co_await check_missing_records(w);
             if (doubt_) break;
         }
         if (!term_ && replica_.whole() && Clock::now() >= next_scrub_) {
@@ -394,7 +395,7 @@
         }
         if (begun_ && !owed_.empty() && Clock::now() >= next_owed) {
             next_owed = Clock::now() + owed_gap;
-            co_await pay_back();
+            co_await restore_deferred_outcomes();
         }
         if (begun_ && owed_.empty() && Clock::now() >= next_digest_) {
             next_digest_ = Clock::now() + digest_gap;
@@ -412,7 +413,8 @@
 // stamp with it, or shows in a revision that went back.
 awaitable<bool> RecoveryCoordinator::confirm(const GenerationMarker& w) {
     const auto term = *term_;
-    const auto asked = co_await consistency_check_.page(state::marker_key, std::string(), RequestPriority::leadership);
+    const auto asked =
+        co_await consistency_check_.read_page(state::marker_key, std::string(), RequestPriority::leadership);
     const auto& got = asked.read;
     if (got.outcome != Outcome::ok) {
         co_await wake_.wait(100ms);
@@ -426,13 +428,13 @@
     if (!same) co_return false;
     settled_ = !unsettled;
     if (asked.went_back) {
-        doubt("its revisions went back to " + std::to_string(got.revision));
+        suspect_loss("its revisions went back to " + std::to_string(got.revision));
         co_return false;
     }
     if (!term_ || term_->number != term.number || doubt_) co_return true;
     begun_ = true;
     led_ = term.number;
-    saw(led_);
+    term_seen(led_);
     callbacks_.begin(term, unsettled);
     co_return true;
 }
@@ -447,7 +449,7 @@
 }
 
 // Follows the records: for the memory, and for whoever must know of cancellations.
-awaitable<void> RecoveryCoordinator::look() {
+awaitable<void> RecoveryCoordinator::read_changes() {
     const auto began = Clock::now();
     if (!following_) {
         // No key comes after this one: the answer only tells where the service stands.
@@ -455,21 +457,21 @@
                                               RequestPriority::bookkeeping);
         if (here.outcome != Outcome::ok) co_return;
         if (here.revision < known_->mod_revision) {
-            doubt("its revisions went back: the marker is of " + std::to_string(known_->mod_revision) +
-                  ", it stands at " + std::to_string(here.revision));
+            suspect_loss("its revisions went back: the marker is of " + std::to_string(known_->mod_revision) +
+                         ", it stands at " + std::to_string(here.revision));
             co_return;
         }
         const auto so_far = replica_.source("so far");
         replica_.begin(known_->generation, known_->id, here.revision);
         // What is owed, and what this controller has written meanwhile.
         for (const auto& [key, record] : so_far.records)
-            replica_.written({key, boost::json::parse(record.text), 0}, record.mod_revision);
+            replica_.apply_own_write({key, boost::json::parse(record.text), 0}, record.mod_revision);
         following_ = true;
         fill_at_ = std::string();
         callbacks_.outcomes({}, began, Look::after_a_gap);
         co_return;
     }
-    auto asked = co_await consistency_check_.changes(scheduler::jobs_prefix);
+    auto asked = co_await consistency_check_.read_changes(scheduler::jobs_prefix);
     auto& seen = asked.seen;
     if (seen.outcome == Outcome::too_old) {
         following_ = false;
@@ -477,18 +479,18 @@
     }
     if (seen.outcome != Outcome::ok) co_return;
     if (asked.went_back) {
-        doubt("its revisions went back to " + std::to_string(seen.revision));
+        suspect_loss("its revisions went back to " + std::to_string(seen.revision));
         co_return;
     }
     for (const auto& e : seen.events)
         if (is_outcome(e.key) && replica_.outcome_of(uid_of(e.key)))
             digested_ = 0;  // one that was put back has a new stamp
-    for (const auto& key : replica_.told(seen)) {
+    for (const auto& key : replica_.apply_changes(seen)) {
         spdlog::error("event=unexpected_record_removal key={}", key);
-        missed(key);
+        record_missing(key);
     }
     // Any of them may have placed something by these records, but for those that rebuilt them.
-    saw(callbacks_.seen_term());
+    term_seen(callbacks_.seen_term());
     std::vector<KeyValue> outcomes;
     for (std::size_t i = 0; i < seen.events.size(); ++i)
         if (!seen.deleted[i] && is_outcome(seen.events[i].key)) outcomes.push_back(std::move(seen.events[i]));
@@ -497,27 +499,27 @@
 
 // What was on record before. A controller that has just begun reads all of it before it answers anybody: only then can
 // it tell whether what there is is what there was. One that knew the former records reads a page each time.
-awaitable<void> RecoveryCoordinator::fill() {
+awaitable<void> RecoveryCoordinator::read_next_page() {
     while (fill_at_) {
         const auto asked =
-            co_await consistency_check_.page(scheduler::jobs_prefix, *fill_at_, RequestPriority::bookkeeping);
+            co_await consistency_check_.read_page(scheduler::jobs_prefix, *fill_at_, RequestPriority::bookkeeping);
         const auto& page = asked.read;
         if (page.outcome != Outcome::ok || !fill_at_) co_return;
         if (asked.went_back) {
             // To take this for all there is would be to forget what was lost.
-            doubt("its revisions went back to " + std::to_string(page.revision));
+            suspect_loss("its revisions went back to " + std::to_string(page.revision));
             co_return;
         }
-        replica_.page(page.items);
+        replica_.add_page(page.items);
         if (page.more && !page.items.empty()) {
             fill_at_ = page.items.back().key;
             if (verified_) co_return;
             continue;
         }
         fill_at_.reset();
-        replica_.filled();
-        spdlog::info("event=replica_loaded records={} generation={} revision={}", replica_.size(), replica_.generation(),
-                     replica_.revision());
+        replica_.pages_complete();
+        spdlog::info("event=replica_loaded records={} generation={} revision={}", replica_.size(),
+                     replica_.generation(), replica_.revision());
     }
 }
 
@@ -530,16 +532,16 @@
     if (o && number(*o, "generation") == known_->generation) {
         // It may tell of what ended while the pages were being read: until all changes up to it are known it says
         // nothing.
-        if (replica_.revision() < number(*o, "revision")) co_await look();
+        if (replica_.revision() < number(*o, "revision")) co_await read_changes();
         if (doubt_ || !following_ || replica_.revision() < number(*o, "revision")) co_return false;
         const auto now = replica_.digest(number(*o, "revision"));
         if (now != RecordReplica::Digest{number(*o, "outcomes"), number(*o, "sum")} ||
             replica_.jobs() < number(*o, "jobs")) {
-            doubt(std::to_string(number(*o, "outcomes")) + " outcomes of " + std::to_string(number(*o, "jobs")) +
-                      " jobs were on record at " + std::to_string(number(*o, "revision")) + ", and " +
-                      std::to_string(now.outcomes) + " of " + std::to_string(replica_.jobs()) + " are at " +
-                      std::to_string(replica_.revision()),
-                  Loss::beyond_memory);
+            suspect_loss(std::to_string(number(*o, "outcomes")) + " outcomes of " + std::to_string(number(*o, "jobs")) +
+                             " jobs were on record at " + std::to_string(number(*o, "revision")) + ", and " +
+                             std::to_string(now.outcomes) + " of " + std::to_string(replica_.jobs()) + " are at " +
+                             std::to_string(replica_.revision()),
+                         Loss::beyond_memory);
             co_return false;
         }
     }
@@ -570,7 +572,7 @@
 // This controller may have been out of reach while another rebuilt. What it alone had accepted or cancelled is put on
 // record now; nobody else can have answered otherwise, for nobody else knew of it. False if some of it was refused, or
 // had no answer: it has to be tried again, and until then nobody here or elsewhere is certain that a job never was.
-awaitable<bool> RecoveryCoordinator::add_late() {
+awaitable<bool> RecoveryCoordinator::add_late_records() {
     const auto former = former_->source("former");
     std::size_t added = 0, lost = 0;
     bool all = true;
@@ -603,14 +605,14 @@
     co_return all;
 }
 
-awaitable<bool> RecoveryCoordinator::read_owed(RecordReplica& replica) {
+awaitable<bool> RecoveryCoordinator::read_deferred_outcomes(RecordReplica& replica) {
     owed_.clear();
     const auto items = co_await read_all(owed_prefix);
     if (!items) co_return false;
     for (const auto& item : *items) try {
             auto& uids = owed_[item.key];
             for (const auto& r : wire::decode_archive_text(std::string_view(item.value.as_string()))) {
-                replica.written({r.key, boost::json::parse(r.text), 0}, deferred_mod_revision);
+                replica.apply_own_write({r.key, boost::json::parse(r.text), 0}, deferred_mod_revision);
                 uids.push_back(r.key.substr(std::string_view(scheduler::over_prefix).size()));
             }
         } catch (const std::exception& e) {
@@ -620,7 +622,7 @@
 }
 
 // Outcomes go back to their places when nobody else has anything to write, and then their page may go.
-awaitable<void> RecoveryCoordinator::pay_back() {
+awaitable<void> RecoveryCoordinator::restore_deferred_outcomes() {
     auto page = owed_.begin();
     const auto marker = *known_;
     auto& uids = page->second;
@@ -660,7 +662,7 @@
 // Whether what is neither on record nor remembered never was. Somebody who was not heard when the records were rebuilt
 // may know better, and adds it when he is back; users who ask meanwhile are asked to come again, but not for so long
 // that a job which does exist counts as forgotten.
-bool RecoveryCoordinator::certain() const {
+bool RecoveryCoordinator::knows_all_jobs() const {
     if (!known_ || Clock::now() >= certain_at_) return true;
     return std::all_of(known_->missing.begin(), known_->missing.end(), [&](const std::string& member) {
         if (member == settings_.member) return replica_.whole() && late_added_;
@@ -673,11 +675,11 @@
 // against what it remembers.
 awaitable<void> RecoveryCoordinator::scrub() {
     const auto asked =
-        co_await consistency_check_.page(scheduler::jobs_prefix, scrub_at_, RequestPriority::bookkeeping);
+        co_await consistency_check_.read_page(scheduler::jobs_prefix, scrub_at_, RequestPriority::bookkeeping);
     const auto& page = asked.read;
     if (page.outcome != Outcome::ok || doubt_ || !replica_.whole()) co_return;
     if (asked.went_back) {
-        doubt("its revisions went back to " + std::to_string(page.revision));
+        suspect_loss("its revisions went back to " + std::to_string(page.revision));
         co_return;
     }
     scrub_at_ = page.more && !page.items.empty() ? page.items.back().key : std::string();
@@ -688,7 +690,7 @@
 // What looked missing, once more, and judged by a memory that was told of everything up to that second look. If single
 // records are gone that are remembered here, they are put back. Nothing is closed for it, and no term ends: as long as
 // they are gone, GuardedStore passes on no answer that rests on their absence. If more is gone, nobody knows how much.
-awaitable<void> RecoveryCoordinator::examine(const GenerationMarker& w) {
+awaitable<void> RecoveryCoordinator::check_missing_records(const GenerationMarker& w) {
     if (!replica_.whole() || !following_) co_return;
     std::vector<ConsistencyCheck::Finding> gone;
     bool swept = false;
@@ -696,7 +698,7 @@
         std::set<std::string> later;
         while (!suspects_.empty() && gone.size() <= most_put_back) {
             auto key = suspects_.extract(suspects_.begin()).value();
-            auto finding = co_await consistency_check_.look_again(std::move(key), RequestPriority::user);
+            auto finding = co_await consistency_check_.recheck(std::move(key), RequestPriority::user);
             if (doubt_ || !replica_.whole()) co_return;
             if (finding.verdict == Verdict::unclear) later.insert(finding.key);
             if (finding.verdict == Verdict::gone) gone.push_back(std::move(finding));
@@ -705,13 +707,13 @@
         if (gone.empty()) co_return;
         if (swept || gone.size() > most_put_back) break;
         // Where one is gone others may be.
-        swept = co_await sweep();
+        swept = co_await check_next_page();
         if (!swept || doubt_) co_return;
     }
     const auto upto = std::max_element(gone.begin(), gone.end(), [](const auto& a, const auto& b) {
                           return a.revision < b.revision;
                       })->revision;
-    if (replica_.revision() < upto) co_await look();
+    if (replica_.revision() < upto) co_await read_changes();
     if (doubt_ || !replica_.whole() || replica_.revision() < upto) {
         for (auto& finding : gone) suspects_.insert(std::move(finding.key));
         co_return;
@@ -724,17 +726,18 @@
         spdlog::error("event=record_lost key={} remembers={} there={} revision={} followed={}", f.key,
                       replica_.expected(f.key), f.there, f.revision, replica_.revision());
     if (gone.size() > most_put_back)
-        doubt(std::to_string(gone.size()) + " records are gone that are remembered, the first of them " + gone[0].key,
-              Loss::records);
+        suspect_loss(
+            std::to_string(gone.size()) + " records are gone that are remembered, the first of them " + gone[0].key,
+            Loss::records);
     else if (!gone.empty())
-        co_await put_back_few(w, std::move(gone));
+        co_await restore_few(w, std::move(gone));
 }
 
 // All pages at once. False if that was not possible now.
-awaitable<bool> RecoveryCoordinator::sweep() {
+awaitable<bool> RecoveryCoordinator::check_next_page() {
     std::string at;
     for (;;) {
-        const auto asked = co_await consistency_check_.page(scheduler::jobs_prefix, at, RequestPriority::user);
+        const auto asked = co_await consistency_check_.read_page(scheduler::jobs_prefix, at, RequestPriority::user);
         if (doubt_ || !replica_.whole() || asked.read.outcome != Outcome::ok) co_return false;
         suspects_.insert(asked.missing.begin(), asked.missing.end());
         if (!asked.read.more || asked.read.items.empty()) co_return true;
@@ -745,8 +748,8 @@
 // By conditioned writes: on this history, on what was found there, and on no outcome that somebody wrote meanwhile.
 // What is written is the newest that ever was on record, since the memory was told of everything up to the finding, and
 // from then on whoever wrote it conditioned on the stamp that was lost has failed.
-awaitable<void> RecoveryCoordinator::put_back_few(const GenerationMarker& w,
-                                                  std::vector<ConsistencyCheck::Finding> gone) {
+awaitable<void> RecoveryCoordinator::restore_few(const GenerationMarker& w,
+                                                 std::vector<ConsistencyCheck::Finding> gone) {
     for (auto& f : gone) {
         const auto record = replica_.record(f.key);
         if (!record) continue;
@@ -762,7 +765,7 @@
         const auto r = co_await raw_.commit(std::move(txn), RequestPriority::user);
         if (doubt_) co_return;
         if (r.outcome == Outcome::ok) {
-            replica_.written(change, r.revision);
+            replica_.apply_own_write(change, r.revision);
             digested_ = 0;
             spdlog::error("event=record_restored key={} revision={}", f.key, r.revision);
         } else {
@@ -771,7 +774,7 @@
     }
 }
 
-void RecoveryCoordinator::shelve() {
+void RecoveryCoordinator::write_snapshot() {
     const auto now = Clock::now();
     if (!replica_.whole() || now - shelved_at_ < shelve_gap) return;
     shelved_at_ = now;
@@ -791,13 +794,13 @@
     if (term_) {
         const bool its_own = w.by == settings_.member && w.term == term_->number;
         if (!begun_ && (its_own || term_->mod_revision > w.mod_revision)) {
-            co_await rebuild(w);
+            co_await rebuild_records(w);
             co_return;
         }
         callbacks_.new_term("the state service lost data");
     } else if (w.phase == GenerationMarker::Phase::merging && !w.by.empty() &&
                offered_to_ != w.id + std::to_string(w.mod_revision)) {
-        const bool offered = co_await offer(w);
+        const bool offered = co_await offer_replica(w);
         if (offered) offered_to_ = w.id + std::to_string(w.mod_revision);
     }
     co_await wake_.wait(stand_gap);
@@ -835,7 +838,7 @@
 
 // What this controller remembers and the rebuilder may not, page by page, and then a key that says so. The rebuilder
 // puts down all of its own before it waits for others: if all end meanwhile, the next one finds it.
-awaitable<bool> RecoveryCoordinator::offer(const GenerationMarker& w) {
+awaitable<bool> RecoveryCoordinator::offer_replica(const GenerationMarker& w) {
     const std::string mine = offers_prefix + settings_.member;
     // What a former life of this controller put down is all that is left of what that remembered.
     const auto before = co_await raw_.get(mine, RequestPriority::user);
@@ -948,7 +951,7 @@
     return out;
 }
 
-awaitable<std::optional<RecoveryCoordinator::Gathered>> RecoveryCoordinator::gather(const GenerationMarker& w) {
+awaitable<std::optional<RecoveryCoordinator::Gathered>> RecoveryCoordinator::gather_offers(const GenerationMarker& w) {
     const auto until = Clock::now() + offers_at_most;
     for (;;) {
         const bool last_call = Clock::now() >= until;
@@ -990,7 +993,7 @@
     co_return std::optional(std::move(out));
 }
 
-awaitable<void> RecoveryCoordinator::rebuild(GenerationMarker w) {
+awaitable<void> RecoveryCoordinator::rebuild_records(GenerationMarker w) {
     const auto term = term_->number;
     const auto still = [&] { return term_ && term_->number == term; };
     if (rebuild_began_ == model::TimePoint{}) rebuild_began_ = Clock::now();
@@ -1007,19 +1010,19 @@
         co_return;
     }
     w.mod_revision = first;
-    spdlog::info("event=recovery_started generation={} term={} remembers={} revision={}", w.generation, term, replica_.size(),
-                 replica_.revision());
-    const bool put_down = co_await offer(w);
+    spdlog::info("event=recovery_started generation={} term={} remembers={} revision={}", w.generation, term,
+                 replica_.size(), replica_.revision());
+    const bool put_down = co_await offer_replica(w);
     if (!put_down || !still()) co_return;
     // 2. What everybody remembers, and what the service still has.
-    const auto gathered = co_await gather(w);
+    const auto gathered = co_await gather_offers(w);
     if (!gathered || !still()) co_return;
     verified_ = true;  // whatever it was that is missing, there is nobody else to ask
     auto there = co_await present();
     if (!there || !still()) co_return;
     for (const auto& s : gathered->sources)
-        spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", s.from, s.generation,
-                      s.revision, s.whole, s.records.size());
+        spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", s.from,
+                      s.generation, s.revision, s.whole, s.records.size());
     for (const auto& member : gathered->missing) spdlog::error("event=replica_offer_missing member={}", member);
     const auto merged = merge(gathered->sources, there->source);
     for (const auto& doubt : merged.doubts) spdlog::error("event=record_unrecoverable what=\"{}\"", doubt);
@@ -1108,7 +1111,7 @@
         for (const auto& c : changes) bytes += state::RecordFormat::size_of(*c.value);
         if (i + 1 < missing.size() && changes.size() < most && bytes < 30'000) continue;
         auto batch = flush();
-        const bool put = co_await put_back(w, std::move(batch), there.mod_revisions);
+        const bool put = co_await write_back(w, std::move(batch), there.mod_revisions);
         if (!put) co_return std::nullopt;
     }
     if (owed.records.empty()) co_return std::optional(missing.size());
@@ -1133,15 +1136,15 @@
         std::vector<state::Change> page;
         page.push_back({owed_prefix + std::to_string(number + std::strtoull(key.c_str(), nullptr, 10)),
                         boost::json::string(text), 0});
-        const bool put = co_await put_back(w, std::move(page), mod_revisions);
+        const bool put = co_await write_back(w, std::move(page), mod_revisions);
         if (!put) co_return std::nullopt;
     }
     co_return std::optional(missing.size() + fresh);
 }
 
 // Until they are on record, or somebody else rebuilds.
-awaitable<bool> RecoveryCoordinator::put_back(const GenerationMarker& w, std::vector<state::Change> changes,
-                                              std::map<std::string, std::uint64_t>& mod_revisions) {
+awaitable<bool> RecoveryCoordinator::write_back(const GenerationMarker& w, std::vector<state::Change> changes,
+                                                std::map<std::string, std::uint64_t>& mod_revisions) {
     for (;;) {
         state::Txn txn;
         txn.conditions = leading_conditions(w);
@@ -1170,7 +1173,7 @@
             for (auto& c : changes) {
                 std::vector<state::Change> one;
                 one.push_back(std::move(c));
-                const bool put = co_await put_back(w, std::move(one), mod_revisions);
+                const bool put = co_await write_back(w, std::move(one), mod_revisions);
                 if (!put) co_return false;
             }
             co_return true;
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -52,20 +52,24 @@
     awaitable<void> run();
 
     // This controller has won a term, or lost it.
-    void leads(election::Term term);
-    void deposed();
+    void term_won(election::Term term);
+    void term_lost();
     // Something showed that data were lost. `records`: single ones that are remembered, while the history went on;
     // `beyond_memory`: more than this controller remembers, so that nobody may know where tasks were placed last.
     enum class Loss : std::uint8_t { records, seen, beyond_memory };
-    void doubt(std::string why, Loss loss = Loss::seen);
+    void suspect_loss(std::string why, Loss loss = Loss::seen);
     // An answer showed this key absent, or older than it was remembered to be. Nothing is concluded from that alone: it
     // is looked at again, and put back if it and few others are gone.
-    void missed(const std::string& key);
-    void written(const state::Change& change, std::uint64_t revision) { replica_.written(change, revision); }
+    void record_missing(const std::string& key);
+    void record_written(const state::Change& change, std::uint64_t revision) {
+        replica_.apply_own_write(change, revision);
+    }
     // All machines have been heard since the records were rebuilt.
-    void settled() { settled_ = true; }
+    void reconciliation_complete() { settled_ = true; }
     // Users were told what this record says.
-    void told(const state::KeyValue& item) { replica_.written({item.key, item.value, 0}, item.mod_revision); }
+    void reported_to_user(const state::KeyValue& item) {
+        replica_.apply_own_write({item.key, item.value, 0}, item.mod_revision);
+    }
     // What a peer said of itself: the generation it knows, 0 if none, and up to where it remembers that.
     struct PeerRecordsStatus {
         std::uint64_t generation = 0, remembers = 0;
@@ -73,22 +77,22 @@
         std::uint64_t rebuilding = 0;  // the generation that it sees being rebuilt, 0 if none
         model::TimePoint heard{};
     };
-    void heard(const std::string& member, PeerRecordsStatus word);
+    void peer_status_received(const std::string& member, PeerRecordsStatus word);
     PeerRecordsStatus own_status() const;
     // Jobs that a worker shows while the records are not whole, to be missed if nobody remembers them.
-    void shown(const model::Heartbeat& report);
+    void tasks_reported(const model::Heartbeat& report);
 
     // The outcome of a job that is remembered, and whether it is remembered at all. What is not on record and yet
     // remembered is either owed, or was lost.
     std::optional<RecordReplica::Outcome> outcome_of(const std::string& uid) const { return replica_.outcome_of(uid); }
 
     // Whether a job that is neither on record nor remembered never was.
-    bool certain() const;
+    bool knows_all_jobs() const;
     // The marker is known: it was whole since this controller began.
     bool ready() const { return known_.has_value(); }
-    bool rebuilding() const { return rebuilding_; }
+    bool recovering() const { return rebuilding_; }
     // The term under which the records were rebuilt last; of those below it none need be on record.
-    std::uint64_t rebuilt_under() const { return known_ ? known_->term : 0; }
+    std::uint64_t recovered_in_term() const { return known_ ? known_->term : 0; }
     const RecordReplica& replica() const { return replica_; }
 
   private:
@@ -119,34 +123,34 @@
     bool unsettled() const { return known_ && known_->beyond_memory && !settled_; }
     std::uint64_t newest_remembered() const;
     static bool outdated(const GenerationMarker& marker, const std::vector<History>& known);
-    void forget_doubt();
-    void saw(std::uint64_t term);
-    awaitable<void> declare(std::uint64_t over, std::uint64_t generation, std::string why);
+    void clear_suspicion();
+    void term_seen(std::uint64_t term);
+    awaitable<void> declare_loss(std::uint64_t over, std::uint64_t generation, std::string why);
     awaitable<std::uint64_t> put(const GenerationMarker& marker);
     awaitable<std::uint64_t> put_with(const GenerationMarker& marker, std::vector<state::Change> with);
 
     // While the records are whole.
-    awaitable<void> attend(GenerationMarker marker);
-    awaitable<bool> read_owed(RecordReplica& replica);
+    awaitable<void> follow_whole_records(GenerationMarker marker);
+    awaitable<bool> read_deferred_outcomes(RecordReplica& replica);
     awaitable<bool> confirm(const GenerationMarker& marker);
-    awaitable<void> look();
-    awaitable<void> fill();
+    awaitable<void> read_changes();
+    awaitable<void> read_next_page();
     awaitable<bool> verify();
     awaitable<void> scrub();
-    awaitable<void> examine(const GenerationMarker& marker);
-    awaitable<bool> sweep();
-    awaitable<void> put_back_few(const GenerationMarker& marker, std::vector<ConsistencyCheck::Finding> gone);
+    awaitable<void> check_missing_records(const GenerationMarker& marker);
+    awaitable<bool> check_next_page();
+    awaitable<void> restore_few(const GenerationMarker& marker, std::vector<ConsistencyCheck::Finding> gone);
     awaitable<void> write_digest();
-    awaitable<bool> add_late();
-    awaitable<void> pay_back();
-    void shelve();
+    awaitable<bool> add_late_records();
+    awaitable<void> restore_deferred_outcomes();
+    void write_snapshot();
 
     // While they are not.
     awaitable<void> stand_by(GenerationMarker marker);
-    awaitable<bool> offer(const GenerationMarker& marker);
+    awaitable<bool> offer_replica(const GenerationMarker& marker);
     std::vector<ReplicaContents> own_sources(const std::string& of, std::uint64_t remembers) const;
-    awaitable<void> rebuild(GenerationMarker marker);
-    awaitable<std::optional<Gathered>> gather(const GenerationMarker& marker);
+    awaitable<void> rebuild_records(GenerationMarker marker);
+    awaitable<std::optional<Gathered>> gather_offers(const GenerationMarker& marker);
     ReplicaContents offered(const std::string& member, std::size_t k, const boost::json::value& entry,
                             const std::map<std::string, const KeyValue*>& by_key) const;
     std::optional<Gathered> read_offers(const GenerationMarker& marker, const std::vector<KeyValue>& items,
@@ -155,8 +159,8 @@
     // How many records were missing, or nothing if it was interrupted.
     awaitable<std::optional<std::size_t>> restore(const GenerationMarker& marker, const Merged& merged,
                                                   Present present);
-    awaitable<bool> put_back(const GenerationMarker& marker, std::vector<state::Change> changes,
-                             std::map<std::string, std::uint64_t>& mod_revisions);
+    awaitable<bool> write_back(const GenerationMarker& marker, std::vector<state::Change> changes,
+                               std::map<std::string, std::uint64_t>& mod_revisions);
     awaitable<std::optional<std::vector<KeyValue>>> read_all(std::string prefix);
     awaitable<void> remove_all(std::string prefix, std::vector<state::Condition> conditions);
     std::vector<std::pair<std::string, std::string>> pages(const std::string& prefix,
--- a/src/scheduler/follower_leases.cpp
+++ b/src/scheduler/follower_leases.cpp
@@ -20,7 +20,7 @@
     for (const auto& item : outcomes)
         if (is_cancelled(item)) cancelled(item.key.substr(item.key.rfind('/') + 1), began);
     while (!cancelled_at_.empty() &&
-           began - cancelled_at_.front().first > model::to_clock(settings_.cancel * kept_for)) {
+           began - cancelled_at_.front().first > model::to_clock(settings_.cancel_deadline * kept_for)) {
         cancelled_.erase(cancelled_at_.front().second);
         cancelled_at_.pop_front();
     }
@@ -31,7 +31,7 @@
 }
 
 bool FollowerLeases::knows_enough(model::TimePoint now, model::TimePoint cancellations_known_until) const {
-    return since_ && fresh_ - *since_ >= model::to_clock(settings_.cancel) &&
+    return since_ && fresh_ - *since_ >= model::to_clock(settings_.cancel_deadline) &&
            may_answer(settings_, now, std::max(fresh_, cancellations_known_until), drift);
 }
 
--- a/src/scheduler/follower_leases.hpp
+++ b/src/scheduler/follower_leases.hpp
@@ -28,7 +28,7 @@
     // Changes before then may have been missed.
     void lost_track(model::TimePoint now) { since_ = now; }
     // All outcomes there are were among those that have been told.
-    void knows_all(model::TimePoint now) { since_ = now - model::to_clock(settings_.cancel); }
+    void knows_all(model::TimePoint now) { since_ = now - model::to_clock(settings_.cancel_deadline); }
 
     // The job is cancelled, by a peer's word: cancellations_known_until says what else that covers.
     void cancelled(const std::string& uid, model::TimePoint now);
--- a/src/scheduler/lease_rule.hpp
+++ b/src/scheduler/lease_rule.hpp
@@ -10,12 +10,12 @@
 // arrival to this look at the clock: a lease runs from when the report was sent, however late its answer leaves.
 inline bool may_answer(const config::Settings& s, model::TimePoint now, model::TimePoint cancellations_known_at,
                        model::Seconds margin = model::Seconds(3)) {
-    return now - cancellations_known_at < model::to_clock(s.cancel - s.lease - margin);
+    return now - cancellations_known_at < model::to_clock(s.cancel_deadline - s.worker_lease - margin);
 }
 
 // How long after a cancellation a silent machine that may hold work of that job is given up, whoever does it: its
 // leader, or a controller that knows of the cancellation while nobody leads. Half of cancel_s leaves the other half to
 // controllers that ended meanwhile and know nothing: they ask all silent machines after as long (app::Fencer).
-inline model::Seconds give_up_silent_after(const config::Settings& s) { return s.cancel * 0.5; }
+inline model::Seconds give_up_silent_after(const config::Settings& s) { return s.cancel_deadline * 0.5; }
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -28,13 +28,13 @@
 constexpr Seconds write_later{8};  // how long the record of ended tasks may wait for other changes of the job
 }  // namespace
 
-Scheduler::Scheduler(const config::Settings& settings, const config::Tunables& tunables,
+Scheduler::Scheduler(const config::Settings& settings, const config::OperatorSettings& operator_settings,
                      const state::RecordFormat& record_format, std::uint64_t term, std::uint64_t term_revision,
                      TimePoint now)
     : settings_(settings),
       record_format_(record_format),
-      tunables_(tunables),
-      rules_{tunables.memory_margin, tunables.groups},
+      operator_settings_(operator_settings),
+      rules_{operator_settings.memory_margin, operator_settings.machine_type_groups},
       term_(term),
       term_revision_(term_revision),
       since_(now),
@@ -55,7 +55,8 @@
 
 std::int64_t Scheduler::window_at(std::int64_t ms) const {
     using std::chrono::milliseconds;
-    const auto window = std::chrono::duration_cast<milliseconds>(model::to_clock(tunables_.window)).count();
+    const auto window =
+        std::chrono::duration_cast<milliseconds>(model::to_clock(operator_settings_.batching_window)).count();
     return ms / std::max<std::int64_t>(1, window);
 }
 
@@ -65,7 +66,7 @@
     job->chunks.resize((spec.tasks + job->page - 1) / job->page);
     job->priority = spec.priority;
     job->arrived = now;
-    const auto window = model::to_clock(tunables_.window);
+    const auto window = model::to_clock(operator_settings_.batching_window);
     job->window = window_at(spec.accepted_ms);
     // A window that a former leader opened has closed by now. And a critical service would come first in any window,
     // having no length: there is nothing to gather before it is placed.
@@ -106,7 +107,7 @@
     return JobCount{j->done, j->running};
 }
 
-std::vector<std::pair<std::string, JobCount>> Scheduler::take_counts() {
+std::vector<std::pair<std::string, JobCount>> Scheduler::take_changed_counts() {
     std::vector<std::pair<std::string, JobCount>> out;
     for (const auto& uid : counts_changed_)
         if (auto c = count(uid)) out.emplace_back(uid, *c);
@@ -260,8 +261,8 @@
         if (now >= job.eligible_at) {
             const auto pause = std::min(first_pause * (1 << std::min(job.failures++, 8u)), longest_pause);
             job.eligible_at = now + pause;
-            spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
-                          job.errors, pause.count());
+            spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid,
+                          job.spec.job_class, job.errors, pause.count());
         }
     } else if (m.failed_jobs.size() >= suspect_jobs) {
         if (!m.quarantined) spdlog::info("event=machine_quarantined machine={} type={}", m.name, m.type);
@@ -298,7 +299,7 @@
         if (!job || job->parked == 0) return true;
         // All have a place: what is missing is an image.
         if (job->placed + job->done == job->spec.tasks) job->parked_since = now;
-        if (now - job->parked_since <= model::to_clock(settings_.gang_wait)) return false;
+        if (now - job->parked_since <= model::to_clock(settings_.gang_barrier_timeout)) return false;
         spdlog::info("event=gang_reservation_released job={} parked={} placed={}", uid, job->parked, job->placed);
         for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
             if (job->tasks[i].parked) leave(*job, i, State::waiting, now);
@@ -391,7 +392,9 @@
 // With the last placements lost, any task that waits may be on any machine that was not heard. A list names all
 // machines that are older than it lags; younger ones are named by a later one.
 // A list may be twice as old as usual: one that came so long after this term began shows what there was in it.
-model::Clock::duration Scheduler::list_age() const { return model::to_clock(settings_.list_lag * 2 + Seconds(2)); }
+model::Clock::duration Scheduler::list_age() const {
+    return model::to_clock(settings_.machine_list_lag * 2 + Seconds(2));
+}
 
 // Whether all is known that may be on the machine: it has shown what it holds under this term, or it was still starting
 // after this term had begun, so that no earlier leader's order can have reached it.
@@ -432,7 +435,7 @@
     return out;
 }
 
-std::optional<std::vector<Command>> Scheduler::report(const model::Heartbeat& r, TimePoint now) {
+std::optional<std::vector<Command>> Scheduler::handle_heartbeat(const model::Heartbeat& r, TimePoint now) {
     if (inventory_.gone(r.machine)) return std::nullopt;
     auto& m = inventory_.add(r.machine, r.type, r.zone, r.spot, now);
     if (m.reported && std::pair(r.incarnation, r.sequence) <= std::pair(m.incarnation, m.sequence)) return std::nullopt;
@@ -517,7 +520,7 @@
     return commands;
 }
 
-Scheduler::Prospect Scheduler::prospect(const model::Heartbeat& r, std::uint64_t passes) const {
+Scheduler::Prospect Scheduler::expected_work(const model::Heartbeat& r, std::uint64_t passes) const {
     const auto* m = inventory_.find(r.machine);
     if (!m || !m->current || m->releasing ||
         std::pair(m->incarnation, m->sequence) != std::pair(r.incarnation, r.sequence))
@@ -528,7 +531,7 @@
     return waiting_ && passes == passes_ && !m->cordoned && m->in_use() < 1 ? Prospect::a_plan : Prospect::nothing;
 }
 
-std::vector<Command> Scheduler::runs(const model::Heartbeat& r) {
+std::vector<Command> Scheduler::pending_runs(const model::Heartbeat& r) {
     std::vector<Command> out;
     auto* m = inventory_.find(r.machine);
     if (!m || !m->current || std::pair(m->incarnation, m->sequence) != std::pair(r.incarnation, r.sequence)) return out;
@@ -548,7 +551,7 @@
     return out;
 }
 
-std::size_t Scheduler::machines_up(TimePoint now) const {
+std::size_t Scheduler::running_machines(TimePoint now) const {
     std::size_t n = 0;
     for (const auto& [name, m] : inventory_.all()) n += usable(*m, now);
     return n;
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -55,7 +55,7 @@
 
 class Scheduler {
   public:
-    Scheduler(const config::Settings& settings, const config::Tunables& tunables,
+    Scheduler(const config::Settings& settings, const config::OperatorSettings& operator_settings,
               const state::RecordFormat& record_format, std::uint64_t term, std::uint64_t term_revision, TimePoint now);
 
     // --- What others tell it ---
@@ -66,38 +66,38 @@
     // long what is read late has been so.
     bool job_changed(const state::KeyValue& item, TimePoint now, std::int64_t at = 0);
     // A peer says that users were told so; the record follows when the state service answers. False if that is no news.
-    bool cancelled_elsewhere(const std::string& uid, TimePoint now);
+    bool cancelled_by_peer(const std::string& uid, TimePoint now);
     // Whether a record of open work shows a task further than this leader knows it to be. Only leaders write where
     // tasks are, so it was put back after a loss, and this leader has read all without it. `over`: jobs that are.
-    bool older_than(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const;
+    bool is_behind(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const;
     // The job, read as open work, has had an outcome for so long. Done or cancelled, it is the same now: what may be
     // left of it must go.
-    void ended(const std::string& uid, TimePoint now, Seconds ago = Seconds(0));
+    void job_over(const std::string& uid, TimePoint now, Seconds ago = Seconds(0));
     // A report, and the orders that answer it; nothing if it is older than what is known or must not be answered.
-    std::optional<std::vector<model::Command>> report(const model::Heartbeat& r, TimePoint now);
+    std::optional<std::vector<model::Command>> handle_heartbeat(const model::Heartbeat& r, TimePoint now);
     // What to expect for a worker whose report was just heard and is not answered yet.
     enum class Prospect : std::uint8_t { nothing, a_plan, a_write };
     // a_write: tasks placed there are not on record yet; a_plan: it has room, and work waits that was not planned since
     // that many passes.
-    Prospect prospect(const model::Heartbeat& r, std::uint64_t passes) const;
+    Prospect expected_work(const model::Heartbeat& r, std::uint64_t passes) const;
     std::uint64_t passes() const { return passes_; }
     // Runs of tasks placed since that report, for its answer; none if the worker has reported again meanwhile.
-    std::vector<model::Command> runs(const model::Heartbeat& r);
-    void catalog(std::vector<model::MachineType> types);
-    void listed(const std::vector<model::ListedMachine>& machines, TimePoint now);
-    void rented(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now);
-    void rent_refused(const fleet::Pool& pool, TimePoint now) { inventory_.refused(pool, now); }
-    void released(const std::vector<std::string>& machines, TimePoint now);
+    std::vector<model::Command> pending_runs(const model::Heartbeat& r);
+    void set_machine_types(std::vector<model::MachineType> types);
+    void machines_listed(const std::vector<model::ListedMachine>& machines, TimePoint now);
+    void machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now);
+    void launch_refused(const fleet::Pool& pool, TimePoint now) { inventory_.refused(pool, now); }
+    void machines_released(const std::vector<std::string>& machines, TimePoint now);
 
     // --- What it wants done ---
     // Places what waits; true if anything was placed.
     bool place(TimePoint now);
     // Moves tasks to where they start sooner, and services off machines that are not worth their price.
-    void improve(TimePoint now);
-    std::vector<fleet::InstanceRequest> rent(TimePoint now);
-    std::vector<Release> release(TimePoint now) const;
+    void relocate(TimePoint now);
+    std::vector<fleet::InstanceRequest> scale_out(TimePoint now);
+    std::vector<Release> scale_in(TimePoint now) const;
     // The release is about to be sent: whatever becomes of it, these machines are not used again.
-    void releasing(const std::vector<Release>& machines);
+    void release_requested(const std::vector<Release>& machines);
     HeartbeatCoverage heartbeat_coverage(TimePoint now) const;
     // This process stood still for so long: what it did not hear meanwhile says nothing about the machines.
     void process_paused(model::Clock::duration gap);
@@ -105,32 +105,32 @@
     // The records are rebuilt and may lack the last placements. A job is placed once every machine that its tasks may
     // be on has been heard under this term, or is gone by the cloud's word, or cannot have been up; and what workers
     // show beyond the records is taken for true.
-    void distrust_records() { unsettled_ = true; }
-    bool unsettled() const { return unsettled_; }
+    void expect_unrecorded_tasks() { unsettled_ = true; }
+    bool awaiting_reconciliation() const { return unsettled_; }
     // Whether a worker has shown what cannot be, unless records were lost, since this was last asked.
-    bool loss_seen() { return std::exchange(loss_seen_, false); }
+    bool take_loss_evidence() { return std::exchange(loss_seen_, false); }
 
     // Keys to be read and told to job_changed: outcomes of jobs that others wait for, and pieces of submissions.
-    std::vector<std::string> missing() const;
+    std::vector<std::string> keys_to_read() const;
 
     // At most so many changes; no more than a transaction may hold. `at` is the time of day.
     Batch next_batch(std::size_t most, std::int64_t at = 0);
     // True if jobs may start now that waited for others.
-    bool committed(const Batch& batch, std::uint64_t revision, TimePoint now);
+    bool batch_committed(const Batch& batch, std::uint64_t revision, TimePoint now);
     // The service will never take the batch as it is.
-    void rejected(const Batch& batch, TimePoint now);
+    void batch_rejected(const Batch& batch, TimePoint now);
     // The batch failed or its fate is unknown, and its keys were read again.
-    void reread(const state::KeyValue& item, TimePoint now);
-    void retry(const Batch& batch);
+    void record_reread(const state::KeyValue& item, TimePoint now);
+    void batch_failed(const Batch& batch);
     // Records of jobs that are over, to be removed when there is nothing better to write.
-    state::Txn leftovers(std::size_t most);
-    void keep_leftovers(const state::Txn& txn);  // they were not removed
+    state::Txn take_garbage(std::size_t most);
+    void garbage_kept(const state::Txn& txn);  // they were not removed
     bool dirty() const { return !dirty_.empty(); }
 
     std::vector<std::string> open_jobs() const;
     bool knows(const std::string& uid) const { return jobs_.contains(uid); }
     std::optional<JobCount> count(const std::string& uid) const;
-    std::vector<std::pair<std::string, JobCount>> take_counts();
+    std::vector<std::pair<std::string, JobCount>> take_changed_counts();
     std::uint64_t term() const { return term_; }
     std::uint64_t term_revision() const { return term_revision_; }
     fleet::MachineInventory& inventory() { return inventory_; }
@@ -138,7 +138,7 @@
     void set_teams(quota::Table table) { teams_.set(std::move(table)); }
     const quota::QuotaAccounting& teams() const { return teams_; }
     const Job* job(const std::string& uid) const;
-    std::size_t machines_up(TimePoint now) const;
+    std::size_t running_machines(TimePoint now) const;
     // What waits, by class, and what each machine holds, for the debug log.
     std::string summary(TimePoint now) const;
 
@@ -146,7 +146,7 @@
     static constexpr std::uint32_t max_planned_tasks = 400;  // of one job, in one go: bounds the work of a tick
     static constexpr double quiet_reports = 2.2;             // report intervals after which a machine gets no new work
     // When the next report is overdue: it may come a quarter late, and a packet may be lost on the way.
-    Seconds overdue() const { return settings_.report * 1.25 + Seconds(1); }
+    Seconds overdue() const { return settings_.heartbeat_interval * 1.25 + Seconds(1); }
 
     Job* find(const std::string& uid);
     Job& create(JobSpec spec, TimePoint now, bool known_before);
@@ -246,7 +246,7 @@
 
     const config::Settings& settings_;
     const state::RecordFormat& record_format_;
-    const config::Tunables& tunables_;
+    const config::OperatorSettings& operator_settings_;
     placement::Rules rules_;
     std::uint64_t term_, term_revision_;
     TimePoint since_;
--- a/src/scheduler/scheduler_fleet.cpp
+++ b/src/scheduler/scheduler_fleet.cpp
@@ -46,7 +46,7 @@
 std::uint32_t Scheduler::wanted_now(const Job& job) const {
     const auto waiting = std::min(job.waiting(), max_planned_tasks);
     if (!job.is(JobKind::array) || job.spec.estimated_runtime.count() <= 0) return waiting;
-    const auto span = std::max(target_of(job.spec) * tunables_.horizon, job.spec.estimated_runtime);
+    const auto span = std::max(target_of(job.spec) * operator_settings_.array_horizon, job.spec.estimated_runtime);
     const double rounds = std::max(1.0, std::floor(span / job.spec.estimated_runtime));
     const auto total = static_cast<std::uint32_t>(std::ceil((job.waiting() + job.placed) / rounds));
     return std::min(waiting, total > job.placed ? total - job.placed : 0);
@@ -99,7 +99,7 @@
     // Idle work has no haste, and must not use up what others will want to rent.
     if (best && job.priority == Priority::idle && best_cost.first > cheapest_each * idle_dear) return std::nullopt;
     // Tasks of an array can follow one another on cheap machines; dear ones are for those that wait too long.
-    if (best && job.is(JobKind::array) && best_cost.first > cheapest_each * tunables_.dear &&
+    if (best && job.is(JobKind::array) && best_cost.first > cheapest_each * operator_settings_.array_price_limit &&
         now - job.arrived < model::to_clock(target_of(job.spec) * 0.5))
         return std::nullopt;
     return best;
@@ -146,7 +146,7 @@
     }
 }
 
-std::vector<fleet::InstanceRequest> Scheduler::rent(TimePoint now) {
+std::vector<fleet::InstanceRequest> Scheduler::scale_out(TimePoint now) {
     if (unsettled_ || !round_heard(now) || heartbeat_coverage(now).cut_off_from_workers()) return {};
     auto plan = planner(now);
     Basket basket;
@@ -212,15 +212,15 @@
     return out;
 }
 
-void Scheduler::rented(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
+void Scheduler::machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
     inventory_.granted(pool);
     for (const auto& name : machines)
         if (!inventory_.gone(name)) inventory_.add(name, pool.type, pool.zone, pool.spot, now);
 }
 
-void Scheduler::catalog(std::vector<model::MachineType> types) { inventory_.set_types(std::move(types)); }
+void Scheduler::set_machine_types(std::vector<model::MachineType> types) { inventory_.set_types(std::move(types)); }
 
-void Scheduler::listed(const std::vector<model::ListedMachine>& machines, TimePoint now) {
+void Scheduler::machines_listed(const std::vector<model::ListedMachine>& machines, TimePoint now) {
     listed_at_ = now;
     for (const auto& l : machines) {
         // The list lags: what it still shows may be gone already, and then it must not come back.
@@ -235,8 +235,8 @@
     std::set<std::string_view> names;
     for (const auto& l : machines) names.insert(l.name);
     for (auto& [name, m] : inventory_.all())
-        m->unlisted =
-            !names.contains(name) && now - m->known_since > model::to_clock(settings_.list_lag * 3 + Seconds(2));
+        m->unlisted = !names.contains(name) &&
+                      now - m->known_since > model::to_clock(settings_.machine_list_lag * 3 + Seconds(2));
 }
 
 HeartbeatCoverage Scheduler::heartbeat_coverage(TimePoint now) const {
@@ -261,7 +261,8 @@
         if (m->releasing || m->unlisted || m->listed_failed || (!m->reported && m->tasks.empty())) continue;
         if (m->row.zone >= zones.size()) zones.resize(m->row.zone + 1);
         ++zones[m->row.zone].expected;
-        zones[m->row.zone].heard += m->reported && now - m->last_report < model::to_clock(settings_.report * 0.5);
+        zones[m->row.zone].heard +=
+            m->reported && now - m->last_report < model::to_clock(settings_.heartbeat_interval * 0.5);
     }
     std::vector<bool> out(zones.size());
     for (std::size_t z = 0; z < zones.size(); ++z)
@@ -278,14 +279,15 @@
     for (const auto& [uid, i] : m.tasks) {
         const auto* j = job(uid);
         if (!j || !j->cancelled) continue;
-        if (unheard > settings_.report * 3 && now > after(j->cancelled_at, give_up_silent_after(settings_)))
+        if (unheard > settings_.heartbeat_interval * 3 && now > after(j->cancelled_at, give_up_silent_after(settings_)))
+            return true;
+        if (now > after(j->cancelled_at, settings_.cancel_deadline - settings_.heartbeat_interval * 1.25 - Seconds(5)))
             return true;
-        if (now > after(j->cancelled_at, settings_.cancel - settings_.report * 1.25 - Seconds(5))) return true;
     }
     return false;
 }
 
-std::vector<Release> Scheduler::release(TimePoint now) const {
+std::vector<Release> Scheduler::scale_in(TimePoint now) const {
     // Many machines silent at once more likely means that this controller is cut off than that all have died.
     std::map<bool, std::pair<int, int>> silent;  // by spot: silent, all
     for (const auto& [name, m] : inventory_.all()) {
@@ -306,32 +308,37 @@
             why = "again";
         } else if (m->listed_failed) {
             why = "failed";
-        } else if (m->terminates_at && now > after(*m->terminates_at, Seconds(1)) && unheard > settings_.report * 1.5) {
+        } else if (m->terminates_at && now > after(*m->terminates_at, Seconds(1)) &&
+                   unheard > settings_.heartbeat_interval * 1.5) {
             why = "taken";
         } else if (!m->reported && m->tasks.empty()) {
-            if (now - m->known_since > model::to_clock(std::max(boot * tunables_.boot_patience, Seconds(30))) &&
-                now - since_ > model::to_clock(settings_.report * 4))
+            if (now - m->known_since >
+                    model::to_clock(std::max(boot * operator_settings_.boot_timeout_factor, Seconds(30))) &&
+                now - since_ > model::to_clock(settings_.heartbeat_interval * 4))
                 why = "never_up";
         } else {
             const auto [unheard_of, total] = silent[m->spot];
             // What the cloud no longer lists is not silent because of us.
             const bool many = unheard_of > 2 && unheard_of * 3 > total && !m->unlisted;
             // Reports come up to a quarter late, and one may be lost on the way.
-            const auto quiet_for = std::max(tunables_.silent, settings_.report * silent_reports);
+            const auto quiet_for =
+                std::max(operator_settings_.silent_timeout, settings_.heartbeat_interval * silent_reports);
             // While hardly anyone is heard, the term should pass to a controller that hears more: to return the whole
             // fleet first would leave it nothing (inc-8739, inc-e02a).
-            auto patience = many && cut_off_from_workers ? settings_.lease * deaf_leases
-                            : many ? std::max(settings_.lease + Seconds(5), listed_dead + settings_.list_lag * 1.5)
-                                   : std::min(quiet_for, settings_.lease);
+            auto patience =
+                many && cut_off_from_workers ? settings_.worker_lease * deaf_leases
+                : many ? std::max(settings_.worker_lease + Seconds(5), listed_dead + settings_.machine_list_lag * 1.5)
+                       : std::min(quiet_for, settings_.worker_lease);
             // Of a zone that is cut off nothing can be replaced there, and what its machines hold is worth a wait as
             // long as it takes to have it again. Those that died are listed as such before.
             if (!m->unlisted && m->row.zone < quiet.size() && quiet[m->row.zone])
-                patience = std::max(patience, settings_.lease + boot * zone_boots);
-            if (unheard > patience && now - since_ > model::to_clock(std::min(patience, settings_.lease)))
+                patience = std::max(patience, settings_.worker_lease + boot * zone_boots);
+            if (unheard > patience && now - since_ > model::to_clock(std::min(patience, settings_.worker_lease)))
                 why = "silent";
             const Seconds idle = now - m->idle_since;
-            if (!why && m->tasks.empty() && m->reported_tasks == 0 && unheard < settings_.report * 2 &&
-                (m->quarantined || m->retiring || m->cordoned || idle > m->again(boot) * tunables_.idle_boots))
+            if (!why && m->tasks.empty() && m->reported_tasks == 0 && unheard < settings_.heartbeat_interval * 2 &&
+                (m->quarantined || m->retiring || m->cordoned ||
+                 idle > m->again(boot) * operator_settings_.idle_timeout_factor))
                 why = "idle";
         }
         // Whatever else speaks for it: in an outage no other reason counts, also where it was named before, or
@@ -347,7 +354,7 @@
     return out;
 }
 
-void Scheduler::releasing(const std::vector<Release>& machines) {
+void Scheduler::release_requested(const std::vector<Release>& machines) {
     for (const auto& [name, why] : machines) {
         auto* m = inventory_.find(name);
         if (!m || m->releasing) continue;
@@ -362,7 +369,7 @@
     for (auto& [name, m] : inventory_.all()) m->last_report += gap;
 }
 
-void Scheduler::released(const std::vector<std::string>& machines, TimePoint now) {
+void Scheduler::machines_released(const std::vector<std::string>& machines, TimePoint now) {
     for (const auto& name : machines) {
         auto* m = inventory_.find(name);
         if (!m) continue;
--- a/src/scheduler/scheduler_moves.cpp
+++ b/src/scheduler/scheduler_moves.cpp
@@ -31,10 +31,10 @@
 }
 
 void Scheduler::start_move(const Job& job, std::uint32_t task, placement::Id to, TimePoint now) {
-    spdlog::debug("event=task_relocation_started task={}/{} from={} to={}", job.spec.uid, task, job.tasks[task].machine->name,
-                  inventory_.at(to)->name);
+    spdlog::debug("event=task_relocation_started task={}/{} from={} to={}", job.spec.uid, task,
+                  job.tasks[task].machine->name, inventory_.at(to)->name);
     find(job.spec.uid)->tasks[task].draining = true;
-    moves_.push_back({job.spec.uid, to, task, after(now, settings_.report * 4)});
+    moves_.push_back({job.spec.uid, to, task, after(now, settings_.heartbeat_interval * 4)});
 }
 
 // A task that moves starts at its goal as soon as it is gone from where it was; until then its room is kept.
@@ -70,7 +70,7 @@
             const auto& ask = ask_of(*job);
             if (here.has(ask.image)) continue;
             const Seconds left = here.image_wait(ask.image, job->spec.image_gb) * slow_fetch - (now - t.placed_at);
-            if (left < settings_.report * 2) continue;
+            if (left < settings_.heartbeat_interval * 2) continue;
             auto hosts = hosts_without(*job, i);
             const auto at = plan.peek(ask, hosts);
             if (at == Planner::none || !plan.host(at).has(ask.image)) continue;
@@ -100,7 +100,7 @@
                     cheapest = t.price / n;
         }
         const double price = (m->spot ? type->spot_price : type->price) / static_cast<double>(m->tasks.size());
-        if (!movable || price < cheapest * tunables_.sparse || price <= worst_price) continue;
+        if (!movable || price < cheapest * operator_settings_.service_price_limit || price <= worst_price) continue;
         Planner::Trial trial(plan);
         if (!rehouse(*m, plan).empty()) {
             worst = m.get();
@@ -131,7 +131,8 @@
         auto* m = sparsest(plan, now);
         if (!m) return;
         const auto to = rehouse(*m, plan);
-        spdlog::info("event=machine_draining_for_defragmentation machine={} type={} tasks={}", m->name, m->type, m->tasks.size());
+        spdlog::info("event=machine_draining_for_defragmentation machine={} type={} tasks={}", m->name, m->type,
+                     m->tasks.size());
         m->retiring = true;
         plan.remove(m->row.slot);
         std::size_t next = 0;
@@ -139,7 +140,7 @@
     }
 }
 
-void Scheduler::improve(TimePoint now) {
+void Scheduler::relocate(TimePoint now) {
     if (unsettled_) return;
     if (!round_heard(now)) return;
     unpark(now);
@@ -183,7 +184,7 @@
         if (m->row.standing.cpus <= 0) choices.push_back({waste, price, m.get()});
     }
     if (machines == 0) return;
-    const double wanted = tunables_.spare + 2 / std::sqrt(static_cast<double>(machines));
+    const double wanted = operator_settings_.spare_capacity_share + 2 / std::sqrt(static_cast<double>(machines));
     if (spare <= wanted * total) {
         spare_since_ = now;
         return;
@@ -192,7 +193,7 @@
     again /= static_cast<double>(machines);
     std::erase_if(choices, [&](const Spare& c) {
         const auto own = c.machine->again(inventory_.type(c.machine->type)->boot);
-        return now < after(spare_since_, std::max(own, again) * tunables_.spare_patience);
+        return now < after(spare_since_, std::max(own, again) * operator_settings_.spare_timeout_factor);
     });
     std::sort(choices.begin(), choices.end(), [](const Spare& a, const Spare& b) {
         return a.waste != b.waste ? a.waste > b.waste : a.machine->name < b.machine->name;
--- a/src/scheduler/scheduler_place.cpp
+++ b/src/scheduler/scheduler_place.cpp
@@ -27,7 +27,7 @@
 
 bool Scheduler::usable(const Machine& m, TimePoint now) const {
     return m.reported && !m.releasing && !m.retiring && !m.cordoned && !m.quarantined && !m.terminates_at &&
-           !m.listed_failed && now - m.last_report < model::to_clock(settings_.report * quiet_reports);
+           !m.listed_failed && now - m.last_report < model::to_clock(settings_.heartbeat_interval * quiet_reports);
 }
 
 const placement::Ask& Scheduler::ask_of(const Job& job) const {
@@ -72,8 +72,9 @@
         w.uid = uid;
         waiting.emplace_back(w, job.get());
     }
-    std::sort(waiting.begin(), waiting.end(),
-              [&](const auto& a, const auto& b) { return placement::before(a.first, b.first, tunables_.ageing); });
+    std::sort(waiting.begin(), waiting.end(), [&](const auto& a, const auto& b) {
+        return placement::before(a.first, b.first, operator_settings_.aging_rate);
+    });
     std::vector<Job*> out;
     out.reserve(waiting.size());
     for (auto& [w, job] : waiting) out.push_back(job);
@@ -201,7 +202,7 @@
 // when it began, there is no load to hear of.
 bool Scheduler::round_heard(TimePoint now) const {
     if (unsettled_ && !all_listed()) return false;
-    if (!inherited_ || now >= after(since_, settings_.report * 1.25 + 500ms)) return true;
+    if (!inherited_ || now >= after(since_, settings_.heartbeat_interval * 1.25 + 500ms)) return true;
     // Workers hurry to a higher term. Some are gone for good, and the rest need not wait for those.
     double working = 0, heard = 0;
     for (const auto& [name, m] : inventory_.all()) {
@@ -223,7 +224,7 @@
         if (t.draining || std::find(spared.begin(), spared.end(), key) != spared.end()) continue;
         const Seconds ran = t.started ? Seconds(now - t.running_since) : Seconds(0);
         // What is about to end makes room by itself, sooner than an order reaches it.
-        if (t.started && other->spec.estimated_runtime - ran < settings_.report) continue;
+        if (t.started && other->spec.estimated_runtime - ran < settings_.heartbeat_interval) continue;
         stoppable.emplace_back(
             other->spec.checkpoint_interval.count() > 0 ? std::min(other->spec.checkpoint_duration, ran) : ran, key);
     }
@@ -357,7 +358,7 @@
     const auto at = plan.peek(ask, hosts);
     if (at == Planner::none) return 0;
     const auto wait = plan.host(at).image_wait(ask.image, job.spec.image_gb);
-    const Seconds until_free = settings_.report * 1.25 + model::Seconds(3);
+    const Seconds until_free = settings_.heartbeat_interval * 1.25 + model::Seconds(3);
     if (wait < until_free * 3) return 0;
     // Room that was made and is not enough is not made again at once; replicas lost later have their own turn.
     if (job.room_made_by != TimePoint{} && now < job.room_made_by + room_again) return 0;
--- a/src/scheduler/scheduler_records.cpp
+++ b/src/scheduler/scheduler_records.cpp
@@ -98,7 +98,7 @@
     need(*job, job->fresh ? std::vector<std::string>{} : job->spec.dependencies, now);
 }
 
-bool Scheduler::older_than(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const {
+bool Scheduler::is_behind(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const {
     const auto key = parse_work_key(item.key);
     const auto* tasks = key && item.value.is_object() ? item.value.get_object().if_contains("tasks") : nullptr;
     // Our own writes are seen here as well, those of jobs that are over and forgotten included.
@@ -187,14 +187,14 @@
     return false;
 }
 
-bool Scheduler::cancelled_elsewhere(const std::string& uid, TimePoint now) {
+bool Scheduler::cancelled_by_peer(const std::string& uid, TimePoint now) {
     auto* job = find(uid);
     if (!job || job->cancelled || job->finished) return false;
     cancel(*job, now);
     return true;
 }
 
-void Scheduler::ended(const std::string& uid, TimePoint now, Seconds ago) {
+void Scheduler::job_over(const std::string& uid, TimePoint now, Seconds ago) {
     if (auto* job = find(uid); job && !job->finished) {
         dependency_graph_.over_somehow(uid);
         cancel(*job, now - model::to_clock(ago));
@@ -235,7 +235,7 @@
     return !news.ready.empty() || !news.doomed.empty();
 }
 
-std::vector<std::string> Scheduler::missing() const {
+std::vector<std::string> Scheduler::keys_to_read() const {
     std::vector<std::string> out;
     for (const auto& uid : dependency_graph_.unknown()) out.push_back(outcome_key(uid));
     for (const auto& [uid, cut] : cut_)
@@ -343,7 +343,7 @@
     jobs_.erase(uid);
 }
 
-state::Txn Scheduler::leftovers(std::size_t most) {
+state::Txn Scheduler::take_garbage(std::size_t most) {
     state::Txn txn;
     most = std::min(most, record_format_.limits().txn_ops);
     for (; !leftovers_.empty() && txn.changes.size() < most; leftovers_.pop_back()) {
@@ -355,12 +355,12 @@
     return txn;
 }
 
-void Scheduler::keep_leftovers(const state::Txn& txn) {
+void Scheduler::garbage_kept(const state::Txn& txn) {
     for (std::size_t i = 0; i < txn.changes.size(); ++i)
         leftovers_.emplace_back(txn.conditions[i].key, txn.conditions[i].mod_revision);
 }
 
-bool Scheduler::committed(const Batch& batch, std::uint64_t revision, TimePoint now) {
+bool Scheduler::batch_committed(const Batch& batch, std::uint64_t revision, TimePoint now) {
     bool ready = false;
     for (const auto& p : batch.parts) {
         auto* job = find(p.uid);
@@ -389,7 +389,7 @@
 
 // One record that is never taken must not stop all others: each is tried alone, and the one at fault is cut smaller, or
 // left for a while.
-void Scheduler::rejected(const Batch& batch, TimePoint now) {
+void Scheduler::batch_rejected(const Batch& batch, TimePoint now) {
     if (batch.parts.size() > 1) {
         singles_ = batch.parts.size();
         for (auto p = batch.parts.rbegin(); p != batch.parts.rend(); ++p) mark_urgent(p->uid);
@@ -408,7 +408,7 @@
     }
 }
 
-void Scheduler::reread(const state::KeyValue& item, TimePoint now) {
+void Scheduler::record_reread(const state::KeyValue& item, TimePoint now) {
     if (const auto key = parse_work_key(item.key)) {
         auto* job = find(key->uid);
         if (job && !key->piece && key->page == job->page && key->chunk < job->chunks.size())
@@ -418,7 +418,7 @@
     job_changed(item, now);
 }
 
-void Scheduler::retry(const Batch& batch) {
+void Scheduler::batch_failed(const Batch& batch) {
     for (const auto& p : batch.parts) mark_dirty(p.uid);
 }
 
--- a/src/simulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -33,7 +33,7 @@
         return;
     }
     const auto& spec = job.spec;
-    if (job.final_word == "aborted" && events_.now() > job.told_at + model::to_clock(settings_.cancel))
+    if (job.final_word == "aborted" && events_.now() > job.told_at + model::to_clock(settings_.cancel_deadline))
         breaks("ran_cancelled", name);
     late_starts_ += job.final_word == "aborted" && events_.now() > job.told_at + std::chrono::seconds(1);
     const bool type = !spec.types || std::count(spec.types->begin(), spec.types->end(), place.type) > 0;
@@ -106,7 +106,7 @@
 void Checker::look() {
     for (const auto& [uid, job] : jobs_)
         if (job.final_word == "aborted" && !job.on.empty() &&
-            events_.now() > job.told_at + model::to_clock(settings_.cancel))
+            events_.now() > job.told_at + model::to_clock(settings_.cancel_deadline))
             breaks("ran_cancelled", uid + " is still on " + job.on.begin()->second.machine);
 }
 
--- a/src/simulator/fleet.cpp
+++ b/src/simulator/fleet.cpp
@@ -202,7 +202,7 @@
         return;
     }
     if (late_reports > 0 && events_.chance(late_reports))
-        events_.after(Seconds(events_.uniform(2, settings_.lease.count() * latest_copy)),
+        events_.after(Seconds(events_.uniform(2, settings_.worker_lease.count() * latest_copy)),
                       [this, node = h.node, from = Origin{h.name, h.zone}, request] {
                           ask_(node, from, request, patience, [](unsigned, const std::string&) {});
                       });
@@ -253,7 +253,7 @@
     if (h.changed)
         changed(host);
     else
-        schedule_report(host, settings_.report * events_.uniform(0.75, 1.25));
+        schedule_report(host, settings_.heartbeat_interval * events_.uniform(0.75, 1.25));
 }
 
 void Fleet::obey(const HostPtr& host, const json::array& commands) {
@@ -350,7 +350,7 @@
         for (const auto& [other, task] : all) starts(other, task);
         return;
     }
-    events_.after(settings_.gang_wait, [this, host, name, serial] {
+    events_.after(settings_.gang_barrier_timeout, [this, host, name, serial] {
         const auto t = host->tasks.find(name);
         if (!host->dead && t != host->tasks.end() && t->second.serial == serial &&
             t->second.status == TaskStatus::waiting)
@@ -416,7 +416,7 @@
 // The others of a running gang notice, and exit.
 void Fleet::gang_member_gone(const TaskName& name, std::uint64_t attempt) {
     const auto uid = name.first;
-    events_.after(settings_.gang_peer * events_.uniform(0.3, 1), [this, uid, attempt] {
+    events_.after(settings_.gang_failure_detection * events_.uniform(0.3, 1), [this, uid, attempt] {
         for (const auto& [other, task] : members(uid, attempt))
             if (other->tasks.at(task).status == TaskStatus::running) ends(other, task, ExitReason::gang_member_lost);
     });
@@ -435,7 +435,7 @@
 void Fleet::check_lease(const HostPtr& host) {
     auto& h = *host;
     if (h.dead) return;
-    if (events_.now() >= h.hangs_until && events_.now() - h.lease_from > model::to_clock(settings_.lease)) {
+    if (events_.now() >= h.hangs_until && events_.now() - h.lease_from > model::to_clock(settings_.worker_lease)) {
         lease_kills += h.tasks.size();
         for (const auto& [name, t] : h.tasks)
             if (t.status != TaskStatus::exited) stopped[name] = events_.now();
@@ -474,7 +474,7 @@
     const auto it = hosts_.find(machine);
     if (it == hosts_.end() || it->second->dead) return;
     drop_all(it->second);
-    it->second->hangs_until = events_.now() + model::to_clock(settings_.lease * restart_leases);
+    it->second->hangs_until = events_.now() + model::to_clock(settings_.worker_lease * restart_leases);
 }
 
 void Fleet::hang(double share, Seconds lasts) {
--- a/src/simulator/rentals.cpp
+++ b/src/simulator/rentals.cpp
@@ -71,7 +71,7 @@
     for (auto it = machines_.upper_bound(after); it != machines_.end() && out.size() < most; ++it) {
         const auto& m = it->second;
         const Seconds age = events_.now() - m.since;
-        if (age < settings_.list_lag && age < events_.since_start()) continue;
+        if (age < settings_.machine_list_lag && age < events_.since_start()) continue;
         const bool failed = m.dead && events_.now() - m.died > model::to_clock(listed_dead);
         out.push_back({m.name, m.address, m.type->name, m.zone, m.spot,
                        failed ? model::MachineStatus::failed
--- a/src/simulator/simulation.cpp
+++ b/src/simulator/simulation.cpp
@@ -91,11 +91,11 @@
         app::Controller controller;
         Process(Simulation& w, std::size_t n, const config::Settings& settings)
             : record_format(settings),
-              state(io.get_executor(), w.events_, w.keys_, settings.limits, settings.nodes),
+              state(io.get_executor(), w.events_, w.keys_, settings.store_limits, settings.controllers),
               cloud(w.events_, w.fleet_, w.scenario_),
               workers(w.events_, w.fleet_),
               controller(
-                  io.get_executor(), settings, w.tunables_, record_format,
+                  io.get_executor(), settings, w.operator_settings_, record_format,
                   {state, cloud, workers, [&w, n](const peer::StatusMessage& b) { w.broadcast_status(n, b); },
                    [&w] { return epoch_ms + std::llround(w.events_.since_start().count() * 1000); },
                    [&w, n](const std::string& member, const peer::RelayMessage& m) { return w.relay(n, member, m); }}) {
@@ -144,8 +144,8 @@
                  ask(node, from.zone, std::move(r), patience, std::move(done));
              }) {
     outcome_.seed = seed;
-    tunables_.known_jobs = scenario.known_jobs;
-    tunables_.direct_share = scenario.direct_share;
+    operator_settings_.job_cache_size = scenario.known_jobs;
+    operator_settings_.direct_share = scenario.direct_share;
 }
 
 Simulation::~Simulation() = default;
@@ -497,8 +497,8 @@
                 alone_since_ = events_.now();
                 events_.after(t.lasts, [this] { alone_.reset(); });
             }
-    if (t.kind == "outage" && alone_ && t.lasts > settings_[0].cancel) {
-        outcome_.met_workers = fleet_.answered_by(*alone_, settings_[0].report * 1.5);
+    if (t.kind == "outage" && alone_ && t.lasts > settings_[0].cancel_deadline) {
+        outcome_.met_workers = fleet_.answered_by(*alone_, settings_[0].heartbeat_interval * 1.5);
         outcome_.met_answers = fleet_.last_answer[*alone_] > alone_since_ + 100ms;
     }
     const auto until = [&](std::function<void()> end) { events_.after(t.lasts, std::move(end)); };
--- a/src/simulator/simulation.hpp
+++ b/src/simulator/simulation.hpp
@@ -121,7 +121,7 @@
     const Scenario& scenario_;
     Events events_;
     std::vector<config::Settings> settings_;
-    config::Tunables tunables_;
+    config::OperatorSettings operator_settings_;
     Keys keys_;
     bool outage_ = false;
     Checker checker_;
--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -180,7 +180,7 @@
     return n;
 }
 
-StateLink::StateLink(net::Executor ex, Events& events, Keys& keys, const config::StateLimits& limits, std::size_t nodes)
+StateLink::StateLink(net::Executor ex, Events& events, Keys& keys, const config::StoreLimits& limits, std::size_t nodes)
     : events_(events),
       keys_(keys),
       limits_(limits),
--- a/src/simulator/state_service.hpp
+++ b/src/simulator/state_service.hpp
@@ -60,7 +60,7 @@
 // How one controller reaches it.
 class StateLink : public state::Service {
   public:
-    StateLink(net::Executor ex, Events& events, Keys& keys, const config::StateLimits& limits, std::size_t nodes);
+    StateLink(net::Executor ex, Events& events, Keys& keys, const config::StoreLimits& limits, std::size_t nodes);
 
     // Everyone's outage, or this controller's alone; a cut lets requests vanish instead.
     const bool* outage = nullptr;
@@ -94,7 +94,7 @@
 
     Events& events_;
     Keys& keys_;
-    config::StateLimits limits_;
+    config::StoreLimits limits_;
     double nodes_;
     state::RequestLimiter limiter_;
     model::TimePoint good_{}, bad_{};
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -59,11 +59,11 @@
 
 HttpStore::HttpStore(net::Executor ex, const config::Settings& s, RecordFormat& record_format)
     : record_format_(record_format),
-      nodes_(std::max<std::size_t>(1, s.nodes)),
+      nodes_(std::max<std::size_t>(1, s.controllers)),
       http_(ex, s.state.host, s.state.port, 8),
       watches_(ex, s.state.host, s.state.port, 4),
-      limiter_(ex, TokenBucket(s.limits.rps * safety / static_cast<double>(nodes_),
-                               s.limits.write_rps * safety / static_cast<double>(nodes_), Clock::now())),
+      limiter_(ex, TokenBucket(s.store_limits.rps * safety / static_cast<double>(nodes_),
+                               s.store_limits.write_rps * safety / static_cast<double>(nodes_), Clock::now())),
       demand_share_(1.0 / static_cast<double>(nodes_)) {
     set_rates();
 }
--- a/src/state/record_format.hpp
+++ b/src/state/record_format.hpp
@@ -17,14 +17,14 @@
 class RecordFormat {
   public:
     explicit RecordFormat(const config::Settings& settings)
-        : limits_(settings.limits), next_(settings.next_limits.value_or(settings.limits)) {}
+        : limits_(settings.store_limits), next_(settings.next_store_limits.value_or(settings.store_limits)) {}
 
     // Every controller reads the newest format.
     bool newest() const { return format_ == newest_format; }
     std::uint64_t format() const { return format_; }
-    const config::StateLimits& limits() const { return limits_; }
+    const config::StoreLimits& limits() const { return limits_; }
     // The limits that the service will have some time after the upgrade.
-    const config::StateLimits& next_limits() const { return next_; }
+    const config::StoreLimits& next_limits() const { return next_; }
 
     // Proof has come that every controller reads that format. The limits to come are kept to from now on, for they come
     // without notice.
@@ -37,7 +37,7 @@
     // The service has refused a transaction of that size for good. If the present limits allow it and those to come do
     // not, they have come, and so every controller has its new version: true if that was news.
     bool refused(std::size_t largest_value, std::size_t changes, std::size_t conditions) {
-        const auto exceeds = [&](const config::StateLimits& l) {
+        const auto exceeds = [&](const config::StoreLimits& l) {
             return largest_value > l.value_bytes || changes > l.txn_ops || conditions > l.txn_ops * 4;
         };
         if (newest() || exceeds(limits_) || !exceeds(next_)) return false;
@@ -55,7 +55,7 @@
 
   private:
     std::uint64_t format_ = oldest_format;
-    config::StateLimits limits_, next_;
+    config::StoreLimits limits_, next_;
 };
 
 }  // namespace flintdale::state
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -27,19 +27,19 @@
             auto& one = all[name];
             one.settings = test::settings();
             one.settings.member = name;
-            one.settings.nodes = 3;
+            one.settings.controllers = 3;
             for (const std::string peer : {"a", "b", "c"})
                 if (peer != name) one.settings.peers.push_back({peer, "a", {}});
             one.knows = std::make_unique<peer::Cancellations>(one.settings);
         }
     }
-    peer::CancellationReport say(const std::string& who) { return all[who].knows->say(now); }
+    peer::CancellationReport say(const std::string& who) { return all[who].knows->make_report(now); }
     void hear(const std::string& who, const std::string& from, std::uint64_t incarnation,
               const peer::CancellationReport& report) {
         auto& one = all[who];
         for (const auto& uid : report.lately)
             if (one.knows->note(uid, now)) one.heard_of.insert(uid);
-        one.knows->heard(from, incarnation, one.incarnation, report, now);
+        one.knows->report_received(from, incarnation, one.incarnation, report, now);
     }
     void tell(const std::string& from, const std::string& to) { hear(to, from, all[from].incarnation, say(from)); }
     // Everybody hears everybody, each second.
@@ -54,7 +54,7 @@
         ++one.incarnation;
         one.knows = std::make_unique<peer::Cancellations>(one.settings);
     }
-    TimePoint known(TimePoint looked) { return all["a"].knows->known_at(looked, now); }
+    TimePoint known(TimePoint looked) { return all["a"].knows->all_known_until(looked, now); }
 };
 
 }  // namespace
@@ -181,7 +181,7 @@
 TEST(LateCancellationTest, LateReadCancellationCountsFromWhenUsersWereTold) {
     SchedulerHarness w;
     w.elect();
-    w.leader->catalog(types());
+    w.leader->set_machine_types(types());
     Worker m;
     w.accept(job("run-1", model::JobKind::service, 1));
     w.heartbeat(m);
@@ -203,17 +203,18 @@
     w.leader->job_changed(outcome, w.now, w.wall_ms);
     TimePoint given_up = TimePoint::max();
     // For that reason, the only one that counts in an outage.
-    for (; w.now < told + model::to_clock(w.settings.cancel * 2) && given_up == TimePoint::max(); w.pass(Seconds(1)))
-        for (const auto& r : w.leader->release(w.now))
+    for (; w.now < told + model::to_clock(w.settings.cancel_deadline * 2) && given_up == TimePoint::max();
+         w.pass(Seconds(1)))
+        for (const auto& r : w.leader->scale_in(w.now))
             if (r.why == scheduler::cancelled_work) given_up = w.now;
-    EXPECT_LT(given_up, told + model::to_clock(w.settings.cancel) - 5s);
+    EXPECT_LT(given_up, told + model::to_clock(w.settings.cancel_deadline) - 5s);
 }
 
 // A peer's word, while the record cannot be read: no order is sent any more, and what runs is killed.
 TEST(LateCancellationTest, CancellationReportedByAPeerStopsTheJob) {
     SchedulerHarness w;
     w.elect();
-    w.leader->catalog(types());
+    w.leader->set_machine_types(types());
     Worker m;
     w.accept(job("run-1", model::JobKind::array, 1));
     w.heartbeat(m);
@@ -222,8 +223,8 @@
     ASSERT_TRUE(w.place());
     w.heartbeat(m);
     m.run_all();
-    EXPECT_TRUE(w.leader->cancelled_elsewhere("run-1", w.now));
-    EXPECT_FALSE(w.leader->cancelled_elsewhere("run-1", w.now));
+    EXPECT_TRUE(w.leader->cancelled_by_peer("run-1", w.now));
+    EXPECT_FALSE(w.leader->cancelled_by_peer("run-1", w.now));
     EXPECT_TRUE(w.ordered(w.heartbeat(m), CommandType::kill, "run-1", 0));
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -16,7 +16,7 @@
 }
 std::string tunables_error(const std::string& text) {
     try {
-        config::parse_tunables(text, "file.ini");
+        config::parse_operator_settings(text, "file.ini");
     } catch (const config::ConfigError& e) {
         return e.what();
     }
@@ -30,7 +30,7 @@
     EXPECT_NE(settings_error("member=\"m\"\nlocation=\"z\"\nserve_on=\"nowhere\"").find("serve_on"), std::string::npos);
     EXPECT_NE(settings_error("member=\"m\"\nlocation=\"z\"\nserve_on=\"1.2.3.4:99999\"").find("serve_on"),
               std::string::npos);
-    EXPECT_EQ(settings().lease, Seconds(18));
+    EXPECT_EQ(settings().worker_lease, Seconds(18));
 }
 
 TEST(ConfigTest, NextLimitsInheritWhatTheyDoNotNameAndAreChecked) {
@@ -70,9 +70,9 @@
 }
 
 TEST(ConfigTest, ChecksOperatorSettings) {
-    EXPECT_EQ(config::parse_tunables("[placement]\nwindow_s = 2.5\n[groups]\ntrain = g8 g4\n", "f").window,
+    EXPECT_EQ(config::parse_operator_settings("[placement]\nwindow_s = 2.5\n[groups]\ntrain = g8 g4\n", "f").window,
               Seconds(2.5));
-    EXPECT_EQ(config::parse_tunables("[groups]\ntrain = g8 g4\n", "f").groups.at("train").size(), 2u);
+    EXPECT_EQ(config::parse_operator_settings("[groups]\ntrain = g8 g4\n", "f").groups.at("train").size(), 2u);
     EXPECT_NE(tunables_error("[placement]\nwindow = 3\n").find("placement.window: unknown"), std::string::npos);
     EXPECT_NE(tunables_error("[placement]\nwindow_s = soon\n").find("expected a number"), std::string::npos);
     EXPECT_NE(tunables_error("[placement]\nwindow_s = -1\n").find("file.ini: placement.window_s"), std::string::npos);
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -71,7 +71,7 @@
     Node after(io, store, "one");
     settle();
     EXPECT_EQ(after.won, std::vector<std::uint64_t>{2});
-    before.elector.heard(2, "one");
+    before.elector.observe_term(2, "one");
     EXPECT_EQ(before.lost, 1);
     EXPECT_FALSE(before.elector.leading());
 }
@@ -79,9 +79,9 @@
 TEST_F(ElectionTest, LeaderStepsDownForAHigherTermButNotForAnEqualOne) {
     Node one(io, store, "one");
     settle();
-    one.elector.heard(1, "two");
+    one.elector.observe_term(1, "two");
     EXPECT_TRUE(one.elector.leading());
-    one.elector.heard(2, "two");
+    one.elector.observe_term(2, "two");
     EXPECT_FALSE(one.elector.leading());
     EXPECT_EQ(one.elector.leader(), "two");
 }
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -159,7 +159,7 @@
     holds = {{"n-1", {"run-1"}}, {"n-2", {"run-2"}}, {"n-3", {"run-3"}}};
     hanging = {"n-1", "n-2"};
     pass(Seconds(5));
-    fencer.heard("n-1");  // it hangs since
+    fencer.heartbeat_received("n-1");  // it hangs since
     pass(cancel() * 0.5 - Seconds(18));
     EXPECT_TRUE(asked.empty());
     pass(Seconds(8));
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -77,7 +77,7 @@
     }
     void SetUp() override {
         follower.lost_track(now);
-        watch(settings.cancel);
+        watch(settings.cancel_deadline);
     }
     std::optional<std::vector<Command>> asked_twice(const model::Heartbeat& r) {
         EXPECT_FALSE(follower.answer(r, now)) << "it may reach the leader, and is sent there first";
@@ -92,7 +92,7 @@
             here.push_back(machine("n-00010" + std::to_string(10 + i), "a"));
             there.push_back(machine("n-00020" + std::to_string(10 + i), "b"));
         }
-        settings.lease = Seconds(20);
+        settings.worker_lease = Seconds(20);
     }
     int second = 0;
     // So many seconds, in which machines report every third, as they should, but for the first so many of zone b.
@@ -134,7 +134,7 @@
 
 TEST(MachineHintsTest, PagesFitIntoValuesAndOnlyChangedOnesAreRewritten) {
     auto settings = test::settings();
-    settings.limits.value_bytes = 2048;
+    settings.store_limits.value_bytes = 2048;
     const state::RecordFormat record_format(settings);
     scheduler::HandoverHints book(record_format);
     auto notes = many_notes(1500);
@@ -225,8 +225,8 @@
     w.elect();
     EXPECT_EQ(w.leader->job("run-1")->arrived, w.now) << "where the time of day is not told";
     for (const std::int64_t at : {w.wall_ms + 90'000, w.wall_ms - 5'000}) {
-        Scheduler next(w.settings, w.tunables, w.record_format, 99, 1, w.now);
-        next.catalog(types());
+        Scheduler next(w.settings, w.operator_settings, w.record_format, 99, 1, w.now);
+        next.set_machine_types(types());
         next.load(w.keys.range(scheduler::work_prefix), w.now, at);
         const auto waited = w.now - next.job("run-1")->arrived;
         EXPECT_EQ(waited, at > w.wall_ms ? model::Clock::duration(90s) : model::Clock::duration(0))
@@ -249,10 +249,10 @@
     w.heartbeat(m1);
     m2.tasks.at(0).status = TaskStatus::waiting;
     const auto report = m2.report();
-    ASSERT_TRUE(w.leader->report(report, w.now)->empty()) << "the new attempt is not on record yet";
-    EXPECT_TRUE(w.leader->runs(report).empty());
+    ASSERT_TRUE(w.leader->handle_heartbeat(report, w.now)->empty()) << "the new attempt is not on record yet";
+    EXPECT_TRUE(w.leader->pending_runs(report).empty());
     w.commit();
-    const auto commands = w.leader->runs(report);
+    const auto commands = w.leader->pending_runs(report);
     ASSERT_EQ(commands.size(), 2u);
     EXPECT_EQ(commands[0].type, CommandType::kill);
     EXPECT_EQ(commands[0].attempt, 1u);
@@ -295,15 +295,15 @@
 TEST_F(FollowerLeasesTest, StopsAnsweringWhileTheLeaseStillExpiresInTime) {
     const auto looked = now;
     TimePoint last{};
-    for (; now < looked + model::to_clock(settings.cancel); now += 500ms)
+    for (; now < looked + model::to_clock(settings.cancel_deadline); now += 500ms)
         if (follower.answer(with_task("run-1"), now)) last = now;
     ASSERT_GT(last, looked);
-    EXPECT_LT(last + model::to_clock(settings.lease), looked + model::to_clock(settings.cancel));
+    EXPECT_LT(last + model::to_clock(settings.worker_lease), looked + model::to_clock(settings.cancel_deadline));
 }
 
 TEST_F(FollowerLeasesTest, WaitsUntilWhatWasCancelledBeforeItWatchedIsGone) {
     follower.lost_track(now);
-    watch(settings.cancel - Seconds(1));
+    watch(settings.cancel_deadline - Seconds(1));
     EXPECT_FALSE(asked_twice(with_task("run-1")));
     watch(Seconds(1));
     EXPECT_TRUE(follower.answer(with_task("run-1"), now));
@@ -340,7 +340,7 @@
     accept(job("run-1", JobKind::array, 400));
     live(6, 20);
     place();
-    const auto commands = leader->rent(now);
+    const auto commands = leader->scale_out(now);
     ASSERT_FALSE(commands.empty());
     for (const auto& o : commands) EXPECT_EQ(o.pool.zone, "a");
 }
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -78,8 +78,8 @@
     const auto batch = leader->next_batch(1000);
     ASSERT_EQ(keys.commit(batch.txn).outcome, state::Outcome::ok);  // and the answer is lost
     EXPECT_FALSE(leader->place(now));
-    for (const auto& key : batch.keys) leader->reread(keys.get(key), now);
-    leader->retry(batch);
+    for (const auto& key : batch.keys) leader->record_reread(keys.get(key), now);
+    leader->batch_failed(batch);
     EXPECT_TRUE(place());
 }
 
@@ -89,15 +89,15 @@
     run("run-1", m1);
     finish("run-1", m1);
     accept(after("run-2", {"run-1"}));
-    EXPECT_TRUE(leader->missing().empty()) << "this leader remembers";
+    EXPECT_TRUE(leader->keys_to_read().empty()) << "this leader remembers";
     elect();
     settle();
     meet(m1);
     EXPECT_FALSE(place());
-    EXPECT_EQ(leader->missing(), std::vector<std::string>{"jobs/over/run-1"});
+    EXPECT_EQ(leader->keys_to_read(), std::vector<std::string>{"jobs/over/run-1"});
     read_missing();
     EXPECT_TRUE(place());
-    EXPECT_TRUE(leader->missing().empty());
+    EXPECT_TRUE(leader->keys_to_read().empty());
 }
 
 TEST_F(JobDependenciesTest, LingeringRecordsAreNotTakenForADoneDependency) {
@@ -128,7 +128,7 @@
     meet(m1);
     EXPECT_TRUE(place());
     EXPECT_EQ(machine_of("run-2", 0), "");
-    EXPECT_TRUE(leader->missing().empty()) << "both are known by now";
+    EXPECT_TRUE(leader->keys_to_read().empty()) << "both are known by now";
 }
 
 TEST_F(JobDependenciesTest, PlacedDependentContinuesUnderTheNextLeader) {
@@ -141,7 +141,7 @@
     elect();
     settle();
     meet(m1);
-    EXPECT_TRUE(leader->missing().empty());
+    EXPECT_TRUE(leader->keys_to_read().empty());
     m1.finish("run-2", 0, ExitReason::stopped);
     heartbeat(m1);
     EXPECT_TRUE(place());
@@ -254,11 +254,11 @@
     other.priority = Priority::idle;
     accept(other);
     settle();
-    EXPECT_EQ(leader->rent(now).size(), 1u);
+    EXPECT_EQ(leader->scale_out(now).size(), 1u);
     meet(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->placed + leader->job("run-3")->placed, 2u);
-    EXPECT_TRUE(leader->rent(now).empty());
+    EXPECT_TRUE(leader->scale_out(now).empty());
     EXPECT_FALSE(leader->job("run-3")->tasks[0].draining);
 }
 
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_EQ(plan.scenario.capacity, 2000u);
     EXPECT_EQ(plan.scenario.types.front().zones.size(), 4u);
     const auto settings = config::parse_settings(plan.settings_text(3), "settings");
-    EXPECT_EQ(settings.nodes, 5u);
+    EXPECT_EQ(settings.controllers, 5u);
     EXPECT_EQ(settings.peers.size(), 4u);
     EXPECT_EQ(settings.teams.size(), plan.teams);
     EXPECT_EQ(settings.listen.host, "127.9.0.4");
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -170,7 +170,7 @@
     w.pass(Seconds(100));
     w.heartbeat(other);
     EXPECT_FALSE(w.place());
-    w.leader->released({silent.name}, w.now);
+    w.leader->machines_released({silent.name}, w.now);
     EXPECT_TRUE(w.place());
     EXPECT_EQ(w.machine_of("run-1", 0), other.name);
 }
@@ -261,7 +261,7 @@
         w.pass(Seconds(2));
     }
     EXPECT_EQ(w.machine_of("run-1", 0), m.name);
-    EXPECT_FALSE(w.leader->rent(w.now).empty()) << "it gets a machine of its own";
+    EXPECT_FALSE(w.leader->scale_out(w.now).empty()) << "it gets a machine of its own";
 }
 
 // A roll of all controllers with a new table: the leader goes by the strictest until the last has come back.
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -204,9 +204,9 @@
 
 TEST(RecordFormatTest, RefusedSizeProvesTheNewLimitsOnlyIfThePresentOnesAllowIt) {
     auto s = settings();
-    s.next_limits = s.limits;
-    s.next_limits->value_bytes = 2048;
-    s.next_limits->txn_ops = 4;
+    s.next_store_limits = s.store_limits;
+    s.next_store_limits->value_bytes = 2048;
+    s.next_store_limits->txn_ops = 4;
     state::RecordFormat record_format(s);
     EXPECT_FALSE(record_format.refused(2048, 4, 16)) << "both allow it: something else is wrong with it";
     EXPECT_FALSE(record_format.refused(20'000, 1, 1)) << "neither allows it";
@@ -215,7 +215,7 @@
     EXPECT_TRUE(record_format.newest());
     EXPECT_EQ(record_format.limits().value_bytes, 2048u);
     EXPECT_FALSE(record_format.refused(3000, 1, 1)) << "no news any more";
-    s.next_limits.reset();
+    s.next_store_limits.reset();
     state::RecordFormat before(s);
     EXPECT_FALSE(before.refused(15'000, 12, 48));
     EXPECT_FALSE(before.newest()) << "no limits are to come";
@@ -303,11 +303,11 @@
         static config::Settings named(const std::string& name) {
             auto s = test::settings();
             s.member = name;
-            s.nodes = 3;
+            s.controllers = 3;
             for (const auto* other : {"one", "two", "three"})
                 if (other != name) s.peers.push_back({other, "a", {}});
-            s.next_limits = s.limits;
-            s.next_limits->txn_ops = 4;
+            s.next_store_limits = s.store_limits;
+            s.next_store_limits->txn_ops = 4;
             return s;
         }
         Node(net::asio::io_context& io, state::Store& store, const std::string& name)
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -162,16 +162,16 @@
 TEST(RecordReplicaTest, HoldsWatchedAndReadRecordsInEitherOrder) {
     RecordReplica m;
     m.begin(1, "a", 10);
-    EXPECT_TRUE(m.told(told(14,
-                            {item("jobs/work/run-1", work(2), 12), removed("jobs/work/run-2", 13),
-                             item("jobs/over/run-2", done, 11)},
-                            {false, true, false}))
+    EXPECT_TRUE(m.apply_changes(told(14,
+                                     {item("jobs/work/run-1", work(2), 12), removed("jobs/work/run-2", 13),
+                                      item("jobs/over/run-2", done, 11)},
+                                     {false, true, false}))
                     .empty());
-    m.page({item("jobs/work/run-1", work(1), 9), item("jobs/work/run-2", work(1), 8),
-            item("jobs/work/run-3", work(0), 7)});
-    m.filled();
-    EXPECT_TRUE(m.knows("run-1"));
-    EXPECT_TRUE(m.over("run-2"));
+    m.add_page({item("jobs/work/run-1", work(1), 9), item("jobs/work/run-2", work(1), 8),
+                item("jobs/work/run-3", work(0), 7)});
+    m.pages_complete();
+    EXPECT_TRUE(m.knows_job("run-1"));
+    EXPECT_TRUE(m.is_over("run-2"));
     EXPECT_EQ(m.open_jobs(), (std::vector<std::string>{"run-1", "run-3"}));
     const auto all = m.source("me");
     EXPECT_TRUE(all.whole);
@@ -185,14 +185,15 @@
 TEST(RecordReplicaTest, ImpossibleRemovalIsReportedAndNotApplied) {
     RecordReplica m;
     m.begin(1, "a", 0);
-    m.page({item("jobs/work/run-1", work(2), 3), item("jobs/over/run-2", done, 4)});
-    m.filled();
+    m.add_page({item("jobs/work/run-1", work(2), 3), item("jobs/over/run-2", done, 4)});
+    m.pages_complete();
     using Keys = std::vector<std::string>;
-    EXPECT_EQ(m.told(told(9, {removed("jobs/work/run-1", 9)}, {true})), Keys{"jobs/work/run-1"});
-    EXPECT_EQ(m.told(told(10, {removed("jobs/over/run-2", 10)}, {true})), Keys{"jobs/over/run-2"});
-    EXPECT_TRUE(m.knows("run-1"));
-    EXPECT_TRUE(m.over("run-2"));
-    EXPECT_EQ(m.told(told(12, {item("jobs/over/run-1", cancelled, 11), removed("jobs/work/run-1", 12)}, {false, true})),
+    EXPECT_EQ(m.apply_changes(told(9, {removed("jobs/work/run-1", 9)}, {true})), Keys{"jobs/work/run-1"});
+    EXPECT_EQ(m.apply_changes(told(10, {removed("jobs/over/run-2", 10)}, {true})), Keys{"jobs/over/run-2"});
+    EXPECT_TRUE(m.knows_job("run-1"));
+    EXPECT_TRUE(m.is_over("run-2"));
+    EXPECT_EQ(m.apply_changes(
+                  told(12, {item("jobs/over/run-1", cancelled, 11), removed("jobs/work/run-1", 12)}, {false, true})),
               Keys());
     EXPECT_TRUE(m.open_jobs().empty());
 }
@@ -200,11 +201,11 @@
 TEST(RecordReplicaTest, OwnAcknowledgedWritesCountBeforeTheWatchReportsThem) {
     RecordReplica m;
     m.begin(1, "a", 5);
-    m.filled();
-    m.written({"jobs/work/run-1", boost::json::parse(work(0)), 0}, 7);
-    EXPECT_TRUE(m.knows("run-1"));
+    m.pages_complete();
+    m.apply_own_write({"jobs/work/run-1", boost::json::parse(work(0)), 0}, 7);
+    EXPECT_TRUE(m.knows_job("run-1"));
     EXPECT_EQ(m.revision(), 5u);
-    EXPECT_TRUE(m.told(told(7, {item("jobs/work/run-1", work(0), 7)}, {false})).empty());
+    EXPECT_TRUE(m.apply_changes(told(7, {item("jobs/work/run-1", work(0), 7)}, {false})).empty());
     EXPECT_EQ(m.size(), 1u);
 }
 
@@ -214,25 +215,25 @@
     auto kept = boost::json::parse(done).as_object();
     kept["at"] = 1234567;
     kept["spec"] = boost::json::object{{"shape", "array"}, {"shards", 2}, {"bundle", std::string(3000, 'x')}};
-    m.page({{"jobs/over/run-1", kept, 4}});
+    m.add_page({{"jobs/over/run-1", kept, 4}});
     const auto record = m.record("jobs/over/run-1");
     ASSERT_TRUE(record);
     EXPECT_LT(record->text.size(), 100u);
     EXPECT_EQ(boost::json::parse(record->text),
               boost::json::parse(R"({"state":"done","at":1234567,"shape":"array","shards":2})"));
     // The oldest format says nothing but state and submission.
-    m.page({item("jobs/over/run-2", R"({"state":"aborted","spec":{"shape":"array","shards":3}})", 5)});
+    m.add_page({item("jobs/over/run-2", R"({"state":"aborted","spec":{"shape":"array","shards":3}})", 5)});
     EXPECT_TRUE(m.record("jobs/over/run-2")->text.find("spec") != std::string::npos);
-    EXPECT_TRUE(m.knows("run-2"));
+    EXPECT_TRUE(m.knows_job("run-2"));
 }
 
 TEST(RecordReplicaTest, PageShowsSilentlyLostRecords) {
     RecordReplica m;
     m.begin(1, "a", 6);
-    m.page(
+    m.add_page(
         {item("jobs/over/run-1", done, 4), item("jobs/work/run-2", work(1), 5), item("jobs/work/run-3", work(1), 6)});
-    m.written({"jobs/over/run-9", boost::json::parse(done), 0}, recovery::deferred_mod_revision);
-    m.filled();
+    m.apply_own_write({"jobs/over/run-9", boost::json::parse(done), 0}, recovery::deferred_mod_revision);
+    m.pages_complete();
     const auto mark = m.mark();
     EXPECT_TRUE(m.missing_from(mark, "", "",
                                {item("jobs/over/run-1", done, 4), item("jobs/work/run-2", work(1), 5),
@@ -249,17 +250,18 @@
 TEST(RecordReplicaTest, RecordsLearnedAfterTheRequestAreNotMissingFromThePage) {
     RecordReplica m;
     m.begin(1, "a", 10);
-    m.page({item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)});
-    m.filled();
+    m.add_page({item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)});
+    m.pages_complete();
     const auto asked = m.mark();
     const std::vector<state::KeyValue> page{item("jobs/work/run-1", work(0), 4), item("jobs/work/run-2", work(0), 5)};
-    m.written({"jobs/work/run-3", boost::json::parse(work(0)), 0}, 11);                            // accepted
-    m.told(told(13, {item("jobs/work/run-1", work(1), 12), item("jobs/work/run-4", work(0), 13)},  // placed, accepted
-                {false, false}));
+    m.apply_own_write({"jobs/work/run-3", boost::json::parse(work(0)), 0}, 11);  // accepted
+    m.apply_changes(
+        told(13, {item("jobs/work/run-1", work(1), 12), item("jobs/work/run-4", work(0), 13)},  // placed, accepted
+             {false, false}));
     EXPECT_TRUE(m.missing_from(asked, "", "", page).empty());
     EXPECT_EQ(m.missing_from(m.mark(), "", "", page).size(), 3u) << "if it had been asked for now";
     m.begin(2, "b", 20);
-    m.filled();
+    m.pages_complete();
     EXPECT_TRUE(m.missing_from(asked, "", "", page).empty()) << "of another history";
 }
 
@@ -534,8 +536,8 @@
         put("jobs/work/run-1", work(1));
         put("jobs/over/run-2", done);
         replica.begin(1, "a", store.keys.revision());
-        replica.page(store.keys.range("jobs/"));
-        replica.filled();
+        replica.add_page(store.keys.range("jobs/"));
+        replica.pages_complete();
     }
     std::uint64_t put(const std::string& key, const std::string& text) {
         state::Txn txn;
@@ -544,7 +546,7 @@
     }
     recovery::ConsistencyCheck::Finding look(const std::string& key) {
         recovery::ConsistencyCheck::Finding out;
-        net::asio::co_spawn(io, consistency_check.look_again(key, state::RequestPriority::user),
+        net::asio::co_spawn(io, consistency_check.recheck(key, state::RequestPriority::user),
                             [&](std::exception_ptr e, recovery::ConsistencyCheck::Finding f) {
                                 EXPECT_FALSE(e);
                                 out = std::move(f);
@@ -571,7 +573,7 @@
 TEST_F(ConsistencyCheckTest, MissingOlderOrDamagedRecordsAreFoundWithTheirPresentRevision) {
     const auto copy = store.keys;
     put("jobs/work/run-1", work(5));
-    replica.told(told(store.keys.revision(), store.keys.range("jobs/work/"), {false}));
+    replica.apply_changes(told(store.keys.revision(), store.keys.range("jobs/work/"), {false}));
     const auto revision = store.keys.revision();
     store.keys = copy;
     auto f = look("jobs/work/run-1");
@@ -606,8 +608,8 @@
     state::GuardedStore guarded{
         service,
         "jobs/",
-        {[this](const char* why) { recovery.doubt(why); },
-         [this](const state::Change& c, std::uint64_t revision) { recovery.written(c, revision); }}};
+        {[this](const char* why) { recovery.suspect_loss(why); },
+         [this](const state::Change& c, std::uint64_t revision) { recovery.record_written(c, revision); }}};
     recovery::RecoveryCoordinator recovery{io.get_executor(),          service,    guarded, cluster, record_format,
                                            recovery::SnapshotFile(""), callbacks()};
 
@@ -669,12 +671,12 @@
     pass(8);
     ASSERT_EQ(recovery.own_status().generation, 2u);
     EXPECT_EQ(service.keys.get("jobs/work/run-1").mod_revision, 0u);
-    EXPECT_FALSE(recovery.certain()) << "that a job never was";
+    EXPECT_FALSE(recovery.knows_all_jobs()) << "that a job never was";
     EXPECT_EQ(recovery.own_status().remembers, 0u) << "nor may others be";
     service.refuse_changes.clear();
     pass(3);
     EXPECT_GT(service.keys.get("jobs/work/run-1").mod_revision, 0u);
-    EXPECT_TRUE(recovery.certain());
+    EXPECT_TRUE(recovery.knows_all_jobs());
     EXPECT_GT(recovery.own_status().remembers, 0u);
 }
 
@@ -683,7 +685,7 @@
 TEST(ReconciliationTest, NothingIsPlacedBeforeEveryMachineOnAFreshListReported) {
     SchedulerHarness w;
     w.elect();
-    w.leader->distrust_records();
+    w.leader->expect_unrecorded_tasks();
     w.accept(job("run-1", model::JobKind::array, 2));
     Worker heard, silent;
     silent.name = "n-000002";
@@ -694,21 +696,21 @@
     w.heartbeat(heard);
     w.pass(Seconds(20));
     EXPECT_FALSE(w.place()) << "no list has come yet";
-    w.leader->listed(list, w.now);
+    w.leader->machines_listed(list, w.now);
     EXPECT_FALSE(w.place()) << "the other machine may hold anything";
-    EXPECT_TRUE(w.leader->rent(w.now).empty());
+    EXPECT_TRUE(w.leader->scale_out(w.now).empty());
     w.heartbeat(silent);
     EXPECT_FALSE(w.place()) << "its report is older than the answer that showed it this term";
     w.heartbeat(silent);
     w.heartbeat(heard);
     EXPECT_TRUE(w.place());
-    EXPECT_FALSE(w.leader->unsettled());
+    EXPECT_FALSE(w.leader->awaiting_reconciliation());
 }
 
 TEST(ReconciliationTest, MachineStillBootingAfterTheTermBeganHoldsNothing) {
     SchedulerHarness w;
     w.elect();
-    w.leader->distrust_records();
+    w.leader->expect_unrecorded_tasks();
     w.accept(job("run-1", model::JobKind::array, 2));
     Worker heard;
     using model::MachineStatus;
@@ -719,23 +721,23 @@
     };
     w.heartbeat(heard);
     w.heartbeat(heard);
-    w.leader->listed(list(MachineStatus::booting), w.now);
+    w.leader->machines_listed(list(MachineStatus::booting), w.now);
     w.pass(Seconds(3));
     w.heartbeat(heard);
     EXPECT_FALSE(w.place()) << "that list may be older than this term, and the machine be up since";
     w.pass(Seconds(20));
     w.heartbeat(heard);
-    w.leader->listed(list(MachineStatus::running), w.now);
+    w.leader->machines_listed(list(MachineStatus::running), w.now);
     EXPECT_FALSE(w.place()) << "it came up, nobody knows when";
-    w.leader->listed(list(MachineStatus::booting), w.now);
+    w.leader->machines_listed(list(MachineStatus::booting), w.now);
     EXPECT_TRUE(w.place());
-    EXPECT_FALSE(w.leader->unsettled());
+    EXPECT_FALSE(w.leader->awaiting_reconciliation());
 }
 
 TEST(ReconciliationTest, JobWaitsOnlyForMachinesThatMayHoldItsTasks) {
     SchedulerHarness w;
     w.elect();
-    w.leader->distrust_records();
+    w.leader->expect_unrecorded_tasks();
     Worker heard, silent;
     silent.name = "n-000002";
     silent.type = "large";
@@ -751,12 +753,12 @@
     w.heartbeat(heard);
     w.pass(Seconds(20));
     w.heartbeat(heard);
-    w.leader->listed(list, w.now);
+    w.leader->machines_listed(list, w.now);
     EXPECT_TRUE(w.place());
     EXPECT_EQ(w.machine_of("run-2", 0), heard.name);
     EXPECT_EQ(w.machine_of("run-1", 0), "") << "it may be on the other";
-    EXPECT_TRUE(w.leader->unsettled());
-    EXPECT_TRUE(w.leader->rent(w.now).empty());
+    EXPECT_TRUE(w.leader->awaiting_reconciliation());
+    EXPECT_TRUE(w.leader->scale_out(w.now).empty());
 }
 
 TEST(ReconciliationTest, LaterAttemptShownByAWorkerIsWhereTheTaskRuns) {
@@ -767,7 +769,7 @@
     Worker m;
     m.type = "large";
     w.elect();
-    w.leader->distrust_records();
+    w.leader->expect_unrecorded_tasks();
     for (const std::uint32_t i : {0u, 2u}) {
         model::TaskReport t;
         t.id = {"run-1", i};
@@ -784,7 +786,7 @@
     EXPECT_EQ(w.machine_of("run-1", 2), m.name);
     w.commit();
     w.pass(Seconds(20));
-    w.leader->listed({}, w.now);
+    w.leader->machines_listed({}, w.now);
     w.heartbeat(m);
     ASSERT_TRUE(w.place());
     EXPECT_NE(w.machine_of("run-1", 1), "");
@@ -797,7 +799,7 @@
 TEST(ReconciliationTest, OrphanedTasksAreStoppedAndWaitedFor) {
     SchedulerHarness w;
     w.elect();
-    w.leader->distrust_records();
+    w.leader->expect_unrecorded_tasks();
     Worker m;
     model::TaskReport t;
     t.id = {"run-9", 0};
@@ -807,13 +809,13 @@
     w.heartbeat(m);
     w.accept(job("run-9", model::JobKind::array, 1));  // submitted again, as a new job
     w.pass(Seconds(20));
-    w.leader->listed({}, w.now);
+    w.leader->machines_listed({}, w.now);
     EXPECT_FALSE(w.place());
     m.fencing_token = w.term;
     w.heartbeat(m);
     w.heartbeat(m);
     EXPECT_TRUE(w.place());
-    EXPECT_TRUE(w.leader->loss_seen() == false);
+    EXPECT_TRUE(w.leader->take_loss_evidence() == false);
 }
 
 TEST(ReconciliationTest, OnlyAnAttemptAboveTheRecordedOneIndicatesLoss) {
@@ -831,12 +833,12 @@
     Worker old = m;
     m.lose_lease();
     w.heartbeat(m);
-    EXPECT_FALSE(w.leader->loss_seen());
+    EXPECT_FALSE(w.leader->take_loss_evidence());
     old.name = "n-000007";
     old.tasks[0].attempt = 9;
     w.heartbeat(old);
-    EXPECT_TRUE(w.leader->loss_seen());
-    EXPECT_FALSE(w.leader->loss_seen()) << "it is told once";
+    EXPECT_TRUE(w.leader->take_loss_evidence());
+    EXPECT_FALSE(w.leader->take_loss_evidence()) << "it is told once";
 }
 
 TEST(TermNumberTest, TermExceedsTheTimeOfDaySoThatNoLostTermReturns) {
