--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -75,10 +75,10 @@
     const auto going = returns();
     ASSERT_EQ(std::count(going.begin(), going.end(), "n-000001"), 1);
     ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
-    leader->released({"n-000001"}, now);
+    leader->machines_released({"n-000001"}, now);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
-    EXPECT_FALSE(leader->report(m1.report(), now)) << "a late report of a released machine is not believed";
+    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now)) << "a late report of a released machine is not believed";
 }
 
 TEST_F(SchedulerTest, NextLeaderFindsTheIntentOfOneThatDiedBeforeItsRunCommand) {
@@ -132,7 +132,7 @@
     ASSERT_TRUE(ordered(heartbeat(m1, false), CommandType::run, "run-1", 0));
     EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
     heartbeat(m1);
-    EXPECT_FALSE(leader->report(old_report, now)) << "a report from before must not undo what is known";
+    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "a report from before must not undo what is known";
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
 }
@@ -161,7 +161,7 @@
         heartbeat(m2);
         EXPECT_FALSE(place());
     }
-    leader->released({"n-000001"}, now);
+    leader->machines_released({"n-000001"}, now);
     EXPECT_TRUE(place());
     EXPECT_LE(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
 }
@@ -242,7 +242,7 @@
     const std::uint32_t in_b = machine_of("run-1", 0) == "n-000002" ? 0 : 1;
     m2.finish("run-1", in_b, ExitReason::stopped);  // zone b's replica ends, and zone b has no machine any more
     heartbeat(m2);
-    leader->released({"n-000002"}, now);
+    leader->machines_released({"n-000002"}, now);
     meet(third);
     EXPECT_FALSE(place()) << "zone a may hold one of two";
     EXPECT_EQ(machine_of("run-1", in_b), "");
@@ -310,7 +310,7 @@
 
 TEST_F(SchedulerTest, LeaderCutOffFromTheStoreStopsAnsweringInTime) {
     const auto known = now;
-    const auto room = settings.cancel - settings.lease;  // a task dies a lease after the last answer
+    const auto room = settings.cancel_deadline - settings.worker_lease;  // a task dies a lease after the last answer
     EXPECT_TRUE(scheduler::may_answer(settings, known + 10s, known));
     EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room), known));
     EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room - Seconds(3)), known));
@@ -322,12 +322,12 @@
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
-    pass(settings.cancel - 9s);
+    pass(settings.cancel_deadline - 9s);
     elect();
-    leader->ended("run-1", now, settings.cancel - 9s);
+    leader->job_over("run-1", now, settings.cancel_deadline - 9s);
     heartbeat(m2);
     EXPECT_TRUE(returns().empty()) << "it may only be late";
-    pass(settings.report * 1.25 + 1100ms);
+    pass(settings.heartbeat_interval * 1.25 + 1100ms);
     heartbeat(m2);
     EXPECT_EQ(returns(), std::vector<std::string>{m1.name});
 }
@@ -343,12 +343,12 @@
     // All machines fall silent at once, which otherwise buys them patience.
     std::vector<std::string> going;
     const auto told = now;
-    while (going.empty() && now < told + model::to_clock(settings.cancel)) {
+    while (going.empty() && now < told + model::to_clock(settings.cancel_deadline)) {
         pass(1s);
         going = returns();
     }
     ASSERT_FALSE(going.empty());
-    EXPECT_LT(now, told + model::to_clock(settings.cancel * 0.8));
+    EXPECT_LT(now, told + model::to_clock(settings.cancel_deadline * 0.8));
     EXPECT_EQ(going.front(), "n-000001");
 }
 
@@ -367,9 +367,9 @@
     tell("run-1");
     const auto told = now;
     std::optional<TimePoint> named, first;
-    for (; now < told + model::to_clock(settings.cancel); pass(1s)) {
+    for (; now < told + model::to_clock(settings.cancel_deadline); pass(1s)) {
         for (auto& w : others) heartbeat(w);
-        const auto going = leader->release(now);
+        const auto going = leader->scale_in(now);
         EXPECT_LE(going.size(), 100u);
         if (!first && !going.empty()) first = now;
         for (const auto& r : going)
@@ -377,7 +377,7 @@
     }
     ASSERT_TRUE(first) << "the silent ones are to be returned as well";
     ASSERT_TRUE(named);
-    EXPECT_LT(*named, told + model::to_clock(settings.cancel * 0.8));
+    EXPECT_LT(*named, told + model::to_clock(settings.cancel_deadline * 0.8));
 }
 
 // Found by scenarios/meeting.toml, seed 1738: the first report that a new leader hears of a machine is a copy from an
@@ -390,7 +390,7 @@
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), m1.name);
     elect();
-    leader->report(copy, now);
+    leader->handle_heartbeat(copy, now);
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name) << "it runs there, in the session that this leader hears of only now";
     heartbeat(m1);
@@ -411,10 +411,10 @@
     ASSERT_TRUE(leader->place(now));
     const auto late = leader->next_batch(100, wall_ms);  // places it on the first machine, and gets no answer
     ASSERT_FALSE(late.empty());
-    for (const auto& key : late.keys) leader->reread(keys.get(key), now);
-    leader->retry(late);
+    for (const auto& key : late.keys) leader->record_reread(keys.get(key), now);
+    leader->batch_failed(late);
     // That machine is returned, and the task placed on another.
-    leader->released({m1.name}, now);
+    leader->machines_released({m1.name}, now);
     settle();
     meet(m2);
     ASSERT_TRUE(place());
@@ -431,9 +431,9 @@
     meet(m1);
     ASSERT_TRUE(leader->place(now));
     const auto late = leader->next_batch(100, wall_ms);
-    for (const auto& key : late.keys) leader->reread(keys.get(key), now);
-    leader->retry(late);
-    leader->released({m1.name}, now);
+    for (const auto& key : late.keys) leader->record_reread(keys.get(key), now);
+    leader->batch_failed(late);
+    leader->machines_released({m1.name}, now);
     settle();
     meet(m2);
     ASSERT_TRUE(leader->place(now));
@@ -453,13 +453,13 @@
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
-    pass(Seconds(settings.cancel * 0.6));
-    auto going = leader->release(now);
+    pass(Seconds(settings.cancel_deadline * 0.6));
+    auto going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
-    leader->releasing(going);
+    leader->release_requested(going);
     pass(2s);
-    going = leader->release(now);
+    going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
 }
@@ -471,9 +471,9 @@
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
     m1.termination_notice = Seconds(5);
-    leader->report(m1.report(), now);
-    pass(Seconds(settings.cancel * 0.6));
-    const auto going = leader->release(now);
+    leader->handle_heartbeat(m1.report(), now);
+    pass(Seconds(settings.cancel_deadline * 0.6));
+    const auto going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
 }
@@ -610,17 +610,17 @@
     EXPECT_FALSE(place());
     m1.finish("run-1", 0, ExitReason::done);
     const auto report = m1.report();
-    ASSERT_TRUE(leader->report(report, now)->empty());
+    ASSERT_TRUE(leader->handle_heartbeat(report, now)->empty());
     const auto passes = leader->passes();
-    EXPECT_EQ(leader->prospect(report, passes), Prospect::a_plan);
+    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_plan);
     ASSERT_TRUE(leader->place(now));
-    EXPECT_EQ(leader->prospect(report, passes), Prospect::a_write);
-    EXPECT_TRUE(leader->runs(report).empty()) << "not on record yet";
+    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_write);
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "not on record yet";
     commit();
     const auto newer = m1.report();
-    leader->report(newer, now);
-    EXPECT_TRUE(leader->runs(report).empty()) << "that answer would come too late";
-    EXPECT_EQ(leader->prospect(newer, passes), Prospect::nothing) << "the newer report's answer has it";
+    leader->handle_heartbeat(newer, now);
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "that answer would come too late";
+    EXPECT_EQ(leader->expected_work(newer, passes), Prospect::nothing) << "the newer report's answer has it";
 }
 
 TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
@@ -629,11 +629,11 @@
     settle();
     meet(m1);
     const auto report = m1.report();
-    leader->report(report, now);
+    leader->handle_heartbeat(report, now);
     ASSERT_TRUE(place());
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
-    EXPECT_TRUE(leader->runs(report).empty());
+    EXPECT_TRUE(leader->pending_runs(report).empty());
 }
 
 // A leader that had just begun took the machines of the start for long spare, and returned 66 before the first job.
@@ -647,18 +647,18 @@
             if (!leader->inventory().gone(w.name)) heartbeat(w);
     };
     all_report();
-    leader->improve(now);
+    leader->relocate(now);
     EXPECT_TRUE(returns().empty());
     for (int i = 0; i < 9; ++i) {  // 27 s, less than a boot
         pass(3s);
         all_report();
-        leader->improve(now);
+        leader->relocate(now);
     }
     EXPECT_TRUE(returns().empty());
     for (int i = 0; i < 3; ++i) {
         pass(3s);
         all_report();
-        leader->improve(now);
+        leader->relocate(now);
     }
     EXPECT_FALSE(returns().empty());
 }
@@ -702,7 +702,7 @@
     ASSERT_TRUE(place());
     heartbeat(m1);
     heartbeat(m2);
-    leader->released({"n-000002"}, now);
+    leader->machines_released({"n-000002"}, now);
     meet(third);
     ASSERT_TRUE(place());
     const auto& tasks = leader->job("run-1")->tasks;
@@ -717,7 +717,7 @@
     gang.need = {8, 2, 40};
     start(gang, {&m1, &m2});
     ASSERT_TRUE(leader->job("run-1")->gang_started);
-    leader->released({"n-000002"}, now);
+    leader->machines_released({"n-000002"}, now);
     meet(third);
     m2 = machine("n-000004", "b");
     meet(m2);
@@ -781,18 +781,18 @@
     heartbeat(m1);
     m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
     heartbeat(m1);
-    leader->released({"n-000002"}, now);
+    leader->machines_released({"n-000002"}, now);
     auto other = job("run-2", JobKind::array, 1);
     other.need = {8, 2, 40};
     accept(other);
     settle();
     pass(Seconds(20));
     heartbeat(m1);
-    leader->improve(now);
+    leader->relocate(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other may find a place soon";
     pass(Seconds(15));
     heartbeat(m1);
-    leader->improve(now);
+    leader->relocate(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "");
     EXPECT_EQ(leader->job("run-1")->parked, 0u);
     commit();
@@ -838,19 +838,19 @@
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) meet(w);
     EXPECT_FALSE(leader->heartbeat_coverage(now).cut_off_from_workers());
-    pass(settings.report * 1.25 + 2s);
+    pass(settings.heartbeat_interval * 1.25 + 2s);
     EXPECT_TRUE(leader->heartbeat_coverage(now).cut_off_from_workers())
         << "and that is told soon, for every lease is running out";
     accept(job("run-1", JobKind::array, 40));
-    for (const auto later = now + model::to_clock(settings.lease * 2); now < later; pass(1s)) {
+    for (const auto later = now + model::to_clock(settings.worker_lease * 2); now < later; pass(1s)) {
         EXPECT_TRUE(returns().empty());
-        EXPECT_TRUE(leader->rent(now).empty()) << "what is needed is a hearing, not machines";
+        EXPECT_TRUE(leader->scale_out(now).empty()) << "what is needed is a hearing, not machines";
     }
 }
 
 // An own day with a zone cut off for 30 s in Riga: half the fleet was returned 5 s before it could be heard again.
 TEST_F(SchedulerTest, ManySilentButListedMachinesGetTheListLag) {
-    settings.list_lag = Seconds(10);
+    settings.machine_list_lag = Seconds(10);
     elect();
     std::vector<Worker> all;
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), i < 4 ? "a" : "b"));
@@ -881,7 +881,7 @@
         for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
     }
     EXPECT_TRUE(returns().empty()) << "so many at once are rather out of reach than dead";
-    leader->listed(list, now);
+    leader->machines_listed(list, now);
     EXPECT_EQ(returns(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
 }
 
@@ -1031,7 +1031,7 @@
     heartbeat(m2);  // both fetch the image, and n-000002 has it first
     m2.run_all();
     heartbeat(m2);
-    leader->improve(now);
+    leader->relocate(now);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "it may still be there";
     EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", 0));
@@ -1060,7 +1060,7 @@
         }
     }
     EXPECT_GE(leader->job("run-bad")->errors, 3u);
-    EXPECT_EQ(leader->machines_up(now), all.size());
+    EXPECT_EQ(leader->running_machines(now), all.size());
 }
 
 // The operators' evenings: what waited for machines that were late or never came up waited in vain.
@@ -1070,14 +1070,14 @@
     wanted.one_zone = true;
     wanted.need = {8, 2, 40};  // a whole small machine each
     accept(wanted);
-    const auto commands = leader->rent(now);
+    const auto commands = leader->scale_out(now);
     ASSERT_EQ(commands.size(), 1u);
     ASSERT_EQ(commands[0].count, 3);
-    leader->rented(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
+    leader->machines_launched(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
     pass(Seconds(45));
-    EXPECT_TRUE(leader->rent(now).empty()) << "they may take half as long again as usual";
+    EXPECT_TRUE(leader->scale_out(now).empty()) << "they may take half as long again as usual";
     pass(Seconds(5));
-    const auto again = leader->rent(now);
+    const auto again = leader->scale_out(now);
     ASSERT_FALSE(again.empty());
     EXPECT_NE(again[0].pool, commands[0].pool);
     for (const auto* name : {"n-000001", "n-000002", "n-000003"}) {  // late, but there
@@ -1111,9 +1111,9 @@
         fail_all();
     }
     EXPECT_TRUE(leader->job("run-1")->doubtful());
-    EXPECT_EQ(leader->machines_up(now), 2u) << "two such jobs on it do not spoil a machine";
+    EXPECT_EQ(leader->running_machines(now), 2u) << "two such jobs on it do not spoil a machine";
     EXPECT_FALSE(place()) << "a pause first";
-    EXPECT_TRUE(leader->rent(now).empty());
+    EXPECT_TRUE(leader->scale_out(now).empty());
     pass(20s);
     for (auto* w : {&m1, &m2}) heartbeat(*w);
     ASSERT_TRUE(place());
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -184,11 +184,11 @@
     txn.conditions.push_back({election::term_key, old.mod_revision});
     txn.changes.push_back({election::term_key, boost::json::object{{"n", ++term}}, 0});
     const auto won = keys.commit(txn);
-    leader = std::make_unique<Scheduler>(settings, tunables, record_format, term, won.revision, now);
-    leader->catalog(types());
+    leader = std::make_unique<Scheduler>(settings, operator_settings, record_format, term, won.revision, now);
+    leader->set_machine_types(types());
     leader->load(keys.range(scheduler::work_prefix), now);
     for (const auto& uid : leader->open_jobs())
-        if (keys.get(scheduler::outcome_key(uid)).mod_revision) leader->ended(uid, now);
+        if (keys.get(scheduler::outcome_key(uid)).mod_revision) leader->job_over(uid, now);
     return *leader;
 }
 
@@ -219,7 +219,7 @@
 }
 
 std::vector<Command> SchedulerHarness::heartbeat(Worker& w, bool answer_arrives) {
-    auto commands = leader->report(w.report(), now);
+    auto commands = leader->handle_heartbeat(w.report(), now);
     EXPECT_TRUE(commands.has_value());
     if (commands && answer_arrives) w.obey(*commands, term);
     return commands.value_or(std::vector<Command>{});
@@ -230,34 +230,34 @@
     if (batch.empty()) return false;
     const auto r = keys.commit(batch.txn);
     if (r.outcome == state::Outcome::ok) {
-        leader->committed(batch, r.revision, now);
+        leader->batch_committed(batch, r.revision, now);
         return true;
     }
     if (r.outcome == state::Outcome::too_large) {
-        leader->rejected(batch, now);
+        leader->batch_rejected(batch, now);
         return true;
     }
     for (const auto& key : r.failed)
         if (key == election::term_key) return false;  // another leads: nothing of this one counts any more
-    for (const auto& key : r.failed) leader->reread(keys.get(key), now);
-    leader->retry(batch);
+    for (const auto& key : r.failed) leader->record_reread(keys.get(key), now);
+    leader->batch_failed(batch);
     return true;
 }
 
 void SchedulerHarness::commit() {
     while (commit_one()) {
     }
-    for (auto rest = leader->leftovers(1000); !rest.changes.empty(); rest = leader->leftovers(1000))
+    for (auto rest = leader->take_garbage(1000); !rest.changes.empty(); rest = leader->take_garbage(1000))
         EXPECT_NE(keys.commit(rest).outcome, state::Outcome::too_large);
 }
 
 void SchedulerHarness::read_missing() {
-    for (const auto& key : leader->missing()) leader->job_changed(keys.get(key), now);
+    for (const auto& key : leader->keys_to_read()) leader->job_changed(keys.get(key), now);
 }
 
 void SchedulerHarness::lower_limits(std::size_t value_bytes, std::size_t txn_ops) {
     auto next = settings;
-    next.next_limits = settings.limits;
+    next.next_limits = settings.store_limits;
     next.next_limits->value_bytes = keys.value_bytes = value_bytes;
     next.next_limits->txn_ops = keys.txn_ops = txn_ops;
     record_format = state::RecordFormat(next);
@@ -272,7 +272,7 @@
 
 std::vector<std::string> SchedulerHarness::returns() const {
     std::vector<std::string> out;
-    for (const auto& r : leader->release(now)) out.push_back(r.machine);
+    for (const auto& r : leader->scale_in(now)) out.push_back(r.machine);
     return out;
 }
 
--- a/tests/support/scheduler_harness.hpp
+++ b/tests/support/scheduler_harness.hpp
@@ -62,7 +62,7 @@
 
 struct SchedulerHarness {
     config::Settings settings = test::settings();
-    config::Tunables tunables;
+    config::OperatorSettings operator_settings;
     state::RecordFormat record_format{settings};
     Keys keys;
     TimePoint now{1000s};
