--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -14,7 +14,7 @@
     }
     return "";
 }
-std::string tunables_error(const std::string& text) {
+std::string operator_settings_error(const std::string& text) {
     try {
         config::parse_operator_settings(text, "file.ini");
     } catch (const config::ConfigError& e) {
@@ -58,8 +58,8 @@
 txn_ops = 12
 )";
     const auto with = [&](const std::string& next) { return cluster + "[cluster.state.next]\n" + next; };
-    EXPECT_FALSE(config::parse_settings(cluster, "f").next_limits);
-    const auto next = *config::parse_settings(with("value_kb = 2.0\ntxn_ops = 4\n"), "f").next_limits;
+    EXPECT_FALSE(config::parse_settings(cluster, "f").next_store_limits);
+    const auto next = *config::parse_settings(with("value_kb = 2.0\ntxn_ops = 4\n"), "f").next_store_limits;
     EXPECT_EQ(next.value_bytes, 2048u);
     EXPECT_EQ(next.txn_ops, 4u);
     EXPECT_EQ(next.rps, 100.0);
@@ -70,13 +70,17 @@
 }
 
 TEST(ConfigTest, ChecksOperatorSettings) {
-    EXPECT_EQ(config::parse_operator_settings("[placement]\nwindow_s = 2.5\n[groups]\ntrain = g8 g4\n", "f").window,
-              Seconds(2.5));
-    EXPECT_EQ(config::parse_operator_settings("[groups]\ntrain = g8 g4\n", "f").groups.at("train").size(), 2u);
-    EXPECT_NE(tunables_error("[placement]\nwindow = 3\n").find("placement.window: unknown"), std::string::npos);
-    EXPECT_NE(tunables_error("[placement]\nwindow_s = soon\n").find("expected a number"), std::string::npos);
-    EXPECT_NE(tunables_error("[placement]\nwindow_s = -1\n").find("file.ini: placement.window_s"), std::string::npos);
-    EXPECT_NE(tunables_error("window_s = 3\n").find("[section]"), std::string::npos);
+    EXPECT_EQ(
+        config::parse_operator_settings("[placement]\nwindow_s = 2.5\n[groups]\ntrain = g8 g4\n", "f").batching_window,
+        Seconds(2.5));
+    EXPECT_EQ(config::parse_operator_settings("[groups]\ntrain = g8 g4\n", "f").machine_type_groups.at("train").size(),
+              2u);
+    EXPECT_NE(operator_settings_error("[placement]\nwindow = 3\n").find("placement.window: unknown"),
+              std::string::npos);
+    EXPECT_NE(operator_settings_error("[placement]\nwindow_s = soon\n").find("expected a number"), std::string::npos);
+    EXPECT_NE(operator_settings_error("[placement]\nwindow_s = -1\n").find("file.ini: placement.window_s"),
+              std::string::npos);
+    EXPECT_NE(operator_settings_error("window_s = 3\n").find("[section]"), std::string::npos);
 }
 
 TEST(TokenBucketTest, LessUrgentRequestsLeaveRoomForLeadership) {
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -85,7 +85,7 @@
         for (const auto& m : machines) holds[m].insert(uid);
         fencer.cancelled(uid, now);
     }
-    Seconds cancel() const { return cluster.cancel; }
+    Seconds cancel() const { return cluster.cancel_deadline; }
 };
 
 }  // namespace
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -269,7 +269,7 @@
     net::asio::io_context io;
     FakeStore store;
     auto old_settings = with_teams({team("team", 0, 8)});
-    old_settings.nodes = 2;
+    old_settings.controllers = 2;
     old_settings.member = "one";
     old_settings.peers = {{"two", "b", {}}};
     auto other = old_settings;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -268,12 +268,12 @@
 TEST(RecordReplicaTest, DigestDistinguishesOutcomesAndIgnoresLaterOnes) {
     RecordReplica a, b;
     for (auto* m : {&a, &b}) m->begin(1, "a", 0);
-    a.page({item("jobs/over/run-1", done, 4), item("jobs/over/run-2", done, 5), item("jobs/over/run-3", done, 9)});
-    b.page({item("jobs/over/run-1", done, 4), item("jobs/over/run-4", done, 5)});
+    a.add_page({item("jobs/over/run-1", done, 4), item("jobs/over/run-2", done, 5), item("jobs/over/run-3", done, 9)});
+    b.add_page({item("jobs/over/run-1", done, 4), item("jobs/over/run-4", done, 5)});
     EXPECT_EQ(a.digest(5).outcomes, 2u);
     EXPECT_NE(a.digest(5), b.digest(5)) << "as many, and others";
     const auto before = a.digest(8);
-    a.page({item("jobs/over/run-5", done, 12)});
+    a.add_page({item("jobs/over/run-5", done, 12)});
     EXPECT_EQ(a.digest(8), before);
 }
 
@@ -444,7 +444,7 @@
 // What is remembered when something is asked holds for the answer; what becomes known meanwhile does not.
 namespace {
 
-struct MissingRecordTest : GuardStory {
+struct MissingRecordTest : GuardedStoreTest {
     std::map<std::string, std::uint64_t> remembered;
     std::vector<std::string> missed;
     state::GuardedStore guard{
@@ -860,7 +860,7 @@
     EXPECT_FALSE(won[0].gap);
     store.keys = Keys();
     clock = 9000;
-    elector.again("the state service lost data");
+    elector.restart_term("the state service lost data");
     settle();
     ASSERT_EQ(won.size(), 2u);
     EXPECT_EQ(won[1].number, 9000u);
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -348,11 +348,11 @@
 
 TEST_F(WorkerAssignmentTest, BoundsFollowFromSocketAndCpuLimits) {
     EXPECT_EQ(app::WorkerAssignment(cluster, operator_settings).capacity(true), 300u);
-    cluster.core_share = 0.002;  // of a core: some 17 reports a second
+    cluster.cpu_share = 0.002;  // of a core: some 17 reports a second
     const auto few = app::WorkerAssignment(cluster, operator_settings).capacity(true);
     EXPECT_GT(few, 10u);
     EXPECT_LT(few, 100u);
-    cluster.report = model::Seconds(12);
+    cluster.heartbeat_interval = model::Seconds(12);
     EXPECT_NEAR(app::WorkerAssignment(cluster, operator_settings).capacity(true), few * 4, 4);
     operator_settings.direct_share = 0;
     EXPECT_EQ(app::WorkerAssignment(cluster, operator_settings).capacity(true), 0u);
--- a/tests/submission_service_test.cpp
+++ b/tests/submission_service_test.cpp
@@ -256,9 +256,9 @@
     many.replace(many.find(R"("hosttypes":null)"), 16, R"("hosttypes":)" + types + "]");
     EXPECT_EQ(run(one.submit(many)).status, 503u);
     auto next = cluster;
-    next.next_limits = next.limits;
-    next.next_limits->value_bytes = 2048;
-    next.next_limits->txn_ops = 4;
+    next.next_store_limits = next.store_limits;
+    next.next_store_limits->value_bytes = 2048;
+    next.next_store_limits->txn_ops = 4;
     record_format = state::RecordFormat(next);
     record_format.all_read(state::newest_format);
     EXPECT_EQ(run(one.submit(many)).status, 201u);
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -257,9 +257,9 @@
 
 void SchedulerHarness::lower_limits(std::size_t value_bytes, std::size_t txn_ops) {
     auto next = settings;
-    next.next_limits = settings.store_limits;
-    next.next_limits->value_bytes = keys.value_bytes = value_bytes;
-    next.next_limits->txn_ops = keys.txn_ops = txn_ops;
+    next.next_store_limits = settings.store_limits;
+    next.next_store_limits->value_bytes = keys.value_bytes = value_bytes;
+    next.next_store_limits->txn_ops = keys.txn_ops = txn_ops;
     record_format = state::RecordFormat(next);
     record_format.all_read(state::newest_format);
 }
