--- /dev/null
+++ b/tests/support/golden_store.hpp
@@ -0,0 +1,35 @@
+// What golden tests of whoever writes to the state service share: a service in memory that notes down each change, and
+// a time that passes only when it is told to.
+#pragma once
+#include "support/fake_store.hpp"
+#include "support/golden_support.hpp"
+
+namespace flintdale::test {
+
+class NotingStore : public FakeStore {
+  public:
+    std::string noted;
+    net::awaitable<state::TxnResult> commit(state::Txn txn, state::RequestPriority priority) override {
+        const auto changes = txn.changes;
+        auto result = co_await FakeStore::commit(std::move(txn), priority);
+        if (result.outcome == state::Outcome::ok) noted += lines_of(changes);
+        co_return result;
+    }
+};
+
+struct OwnTime {
+    model::TimePoint now{std::chrono::seconds(1000)};
+    OwnTime() { model::Clock::simulated = &now; }
+    ~OwnTime() { model::Clock::simulated = nullptr; }
+    OwnTime(const OwnTime&) = delete;
+    // What happens on `io` while these seconds pass.
+    void pass(net::asio::io_context& io, double seconds) {
+        for (double t = 0; t < seconds; t += 0.02) {
+            now += std::chrono::milliseconds(20);
+            io.restart();
+            io.poll();
+        }
+    }
+};
+
+}  // namespace flintdale::test
