--- a/src/recovery/consistency_check.cpp
+++ b/src/recovery/consistency_check.cpp
@@ -10,7 +10,7 @@
 using state::RequestPriority;
 
 awaitable<ConsistencyCheck::Page> ConsistencyCheck::read_page(std::string prefix, std::string after,
-                                                              RequestPriority priority) {
+                                                              RequestPriority priority) const {
     const auto mark = replica_.mark();
     const auto newest = newest_();
     const auto from = after;
@@ -24,7 +24,7 @@
     co_return out;
 }
 
-awaitable<ConsistencyCheck::Changes> ConsistencyCheck::read_changes(std::string prefix) {
+awaitable<ConsistencyCheck::Changes> ConsistencyCheck::read_changes(std::string prefix) const {
     const auto mark = replica_.mark();
     const auto newest = newest_();
     Changes out;
@@ -33,20 +33,20 @@
     co_return out;
 }
 
-awaitable<ConsistencyCheck::Finding> ConsistencyCheck::recheck(std::string key, RequestPriority priority) {
+awaitable<ConsistencyCheck::Finding> ConsistencyCheck::recheck(std::string key, RequestPriority priority) const {
     using Verdict = Finding::Verdict;
     Finding out;
     out.key = key;
     const auto mark = replica_.mark();
-    out.remembered = replica_.expected(key);
-    if (!out.remembered) {
+    out.expected = replica_.expected(key);
+    if (!out.expected) {
         out.verdict = Verdict::sound;
         co_return out;
     }
     const auto got = co_await store_.get(std::move(key), priority);
     if (got.outcome != Outcome::ok || !replica_.holds(mark)) co_return out;
     out.damaged = got.item.mod_revision && !got.item.value.is_object() && replica_.readable(out.key);
-    if (got.item.mod_revision >= out.remembered && !out.damaged) {
+    if (got.item.mod_revision >= out.expected && !out.damaged) {
         out.verdict = Verdict::sound;
         co_return out;
     }
@@ -65,8 +65,8 @@
         co_return out;
     }
     if (at_once.outcome != Outcome::ok) co_return out;
-    out.verdict = Verdict::gone;
-    out.there = got.item.mod_revision;
+    out.verdict = Verdict::lost;
+    out.present = got.item.mod_revision;
     out.revision = at_once.revision;
     co_return out;
 }
--- a/src/recovery/consistency_check.hpp
+++ b/src/recovery/consistency_check.hpp
@@ -25,24 +25,24 @@
         // Of all records of jobs: remembered then, unchanged since, and absent or older. To be looked at again.
         std::vector<std::string> missing;
     };
-    awaitable<Page> read_page(std::string prefix, std::string after, state::RequestPriority priority);
+    awaitable<Page> read_page(std::string prefix, std::string after, state::RequestPriority priority) const;
 
     struct Changes {
         state::WatchResult seen;
         bool went_back = false;
     };
-    awaitable<Changes> read_changes(std::string prefix);
+    awaitable<Changes> read_changes(std::string prefix) const;
 
     // The very record, read again now. Gone: at `revision` it had the stamp `there` (0: absent), which is older than
     // the one remembered, and nothing that removes records in good order had happened to its job. Whether it is
     // remembered still, and how, is to be judged by a memory that was told of everything up to that revision.
     struct Finding {
-        enum class Verdict : std::uint8_t { unclear, sound, gone } verdict = Verdict::unclear;
+        enum class Verdict : std::uint8_t { unclear, sound, lost } verdict = Verdict::unclear;
         std::string key;
-        std::uint64_t there = 0, remembered = 0, revision = 0;
+        std::uint64_t present = 0, expected = 0, revision = 0;
         bool damaged = false;  // there, with its stamp, and no longer what was written
     };
-    awaitable<Finding> recheck(std::string key, state::RequestPriority priority);
+    awaitable<Finding> recheck(std::string key, state::RequestPriority priority) const;
 
   private:
     state::Store& store_;
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 
 #include "model/job.hpp"
-#include "scheduler/job.hpp"
+#include "recovery/record_keys.hpp"
 
 namespace flintdale::recovery {
 
@@ -14,8 +14,6 @@
 
 namespace json = boost::json;
 
-bool is_final(const std::string& key) { return key.starts_with(scheduler::over_prefix); }
-
 std::optional<json::object> object_of(const std::string& text) {
     json::error_code ec;
     auto v = json::parse(text, ec);
@@ -34,25 +32,24 @@
 
 // Two sources of one history cannot hold different values of one revision of a key, but for damage or a history that
 // forked. Then done is worth more than cancelled, and a higher attempt than a lower one.
-auto worth(const std::string& key, const std::string& text) {
-    std::uint64_t priority = 0;
-    if (is_final(key)) {
-        priority = state_of(text) == model::JobState::done ? 2 : state_of(text) == model::JobState::cancelled ? 1 : 0;
+auto precedence(const std::string& key, const std::string& text) {
+    std::uint64_t rank = 0;
+    if (is_outcome_key(key)) {
+        rank = state_of(text) == model::JobState::done ? 2 : state_of(text) == model::JobState::cancelled ? 1 : 0;
     } else if (const auto o = object_of(text)) {
         const auto* tasks = o->if_contains("tasks");
         if (tasks && tasks->is_array()) try {
-                for (const auto& r : wire::ranges_from_record(tasks->get_array()))
-                    priority = std::max(priority, r.attempt);
+                for (const auto& r : wire::ranges_from_record(tasks->get_array())) rank = std::max(rank, r.attempt);
             } catch (const std::exception&) {
-                priority = 0;
+                rank = 0;
             }
     }
-    return std::tuple(priority, text);
+    return std::tuple(rank, text);
 }
 
 bool readable(const std::string& key, const std::string& text) {
     const auto o = object_of(text);
-    return o && (!is_final(key) || state_of(text) != model::JobState::open);
+    return o && (!is_outcome_key(key) || state_of(text) != model::JobState::open);
 }
 
 class Merger {
@@ -64,38 +61,40 @@
             if (s.generation >= newest_whole_) used_.push_back(&s);
     }
 
-    Merged run(const ReplicaContents& store) {
+    Merged merge(const ReplicaContents& store) {
         take_newest();
         drop_removed();
-        for (auto& [key, held] : held_) out_.records.emplace(key, held.record->text);
-        add(store);
-        settle_work();
+        for (auto& [key, newest] : newest_) out_.records.emplace(key, newest.record->text);
+        add_stored(store);
+        drop_finished_work();
         return std::move(out_);
     }
 
   private:
-    struct Held {
+    // The newest value of a key so far, and the generation of its source.
+    struct Newest {
         std::uint64_t generation = 0;
         const Record* record = nullptr;
     };
 
-    void doubt(std::string what) { doubts_.insert(std::move(what)); }
+    void report(std::string what) { unrecoverable_.insert(std::move(what)); }
 
     void take_newest() {
         for (const auto* s : used_)
             for (const auto& [key, record] : s->records) {
                 if (!readable(key, record.text)) {
-                    doubt("unreadable " + key);
+                    report("unreadable " + key);
                     continue;
                 }
-                auto& held = held_[key];
-                const auto mine = std::tuple(s->generation, record.mod_revision);
-                const auto theirs =
-                    held.record ? std::tuple(held.generation, held.record->mod_revision) : std::tuple(0ul, 0ul);
-                if (held.record && mine == theirs && record.text != held.record->text) doubt("two values of " + key);
-                if (!held.record || mine > theirs ||
-                    (mine == theirs && worth(key, record.text) > worth(key, held.record->text)))
-                    held = {s->generation, &record};
+                auto& newest = newest_[key];
+                const auto candidate = std::tuple(s->generation, record.mod_revision);
+                const auto present =
+                    newest.record ? std::tuple(newest.generation, newest.record->mod_revision) : std::tuple(0ul, 0ul);
+                if (newest.record && candidate == present && record.text != newest.record->text)
+                    report("two values of " + key);
+                if (!newest.record || candidate > present ||
+                    (candidate == present && precedence(key, record.text) > precedence(key, newest.record->text)))
+                    newest = {s->generation, &record};
             }
     }
 
@@ -104,10 +103,10 @@
     void drop_removed() {
         for (const auto* s : used_) {
             if (!s->whole) continue;
-            std::erase_if(held_, [&](const auto& entry) {
-                const auto& [key, held] = entry;
-                if (is_final(key) || held.generation != s->generation || held.record->mod_revision > s->revision ||
-                    s->records.contains(key))
+            std::erase_if(newest_, [&](const auto& entry) {
+                const auto& [key, newest] = entry;
+                if (is_outcome_key(key) || newest.generation != s->generation ||
+                    newest.record->mod_revision > s->revision || s->records.contains(key))
                     return false;
                 const auto work = scheduler::parse_work_key(key);
                 return work && s->records.contains(scheduler::outcome_key(work->uid));
@@ -123,14 +122,14 @@
         });
     }
 
-    void add(const ReplicaContents& store) {
+    void add_stored(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
-                if (!out_.records.contains(key)) doubt("unreadable " + key);
+                if (!out_.records.contains(key)) report("unreadable " + key);
                 continue;
             }
             if (out_.records.contains(key)) continue;
-            if (!is_final(key)) {
+            if (!is_outcome_key(key)) {
                 const auto work = scheduler::parse_work_key(key);
                 // Set back, the service may show what had long been removed.
                 if (!work || known_to_whole(work->uid)) continue;
@@ -139,36 +138,36 @@
         }
     }
 
-    void settle_work() {
+    void drop_finished_work() {
         std::set<std::string> lost;
         std::erase_if(out_.records, [&](const auto& entry) {
             const auto& key = entry.first;
-            if (is_final(key)) return false;
+            if (is_outcome_key(key)) return false;
             const auto work = scheduler::parse_work_key(key);
             if (!work) return true;
             const auto outcome = out_.records.find(scheduler::outcome_key(work->uid));
             if (outcome != out_.records.end()) return state_of(outcome->second) == model::JobState::done;
-            if (work->first() || held_.contains(scheduler::work_key(work->uid, 0)) ||
+            if (work->first() || newest_.contains(scheduler::work_key(work->uid, 0)) ||
                 out_.records.contains(scheduler::work_key(work->uid, 0)))
                 return false;
             lost.insert(work->uid);
             return true;
         });
-        for (const auto& uid : lost) doubt("submission lost " + uid);
-        out_.doubts.assign(doubts_.begin(), doubts_.end());
+        for (const auto& uid : lost) report("submission lost " + uid);
+        out_.unrecoverable.assign(unrecoverable_.begin(), unrecoverable_.end());
     }
 
     std::uint64_t newest_whole_ = 0;
     std::vector<const ReplicaContents*> used_;
-    std::map<std::string, Held> held_;
-    std::set<std::string> doubts_;
+    std::map<std::string, Newest> newest_;
+    std::set<std::string> unrecoverable_;
     Merged out_;
 };
 
 }  // namespace
 
 Merged merge(const std::vector<ReplicaContents>& sources, const ReplicaContents& store) {
-    return Merger(sources).run(store);
+    return Merger(sources).merge(store);
 }
 
 }  // namespace flintdale::recovery
--- a/src/recovery/merge.hpp
+++ b/src/recovery/merge.hpp
@@ -1,4 +1,5 @@
-// What the records of jobs should be after a loss, from everything that somebody remembers of them. Pure.
+// What the records of jobs should be after a loss, from everything that the replicas and the store hold. Pure: it
+// knows nothing of the store or of time.
 #pragma once
 #include <map>
 #include <string>
@@ -12,33 +13,33 @@
     bool operator==(const Record&) const = default;
 };
 
-// What one controller, snapshot or the state service itself holds of the keys of jobs.
+// The records of jobs that one controller, a snapshot or the store itself holds.
 struct ReplicaContents {
     std::string from;              // for the log
-    std::uint64_t generation = 0;  // of the history that its stamps are of
+    std::uint64_t generation = 0;  // of the history that its mod revisions belong to
     std::string id;                // of that history
     std::uint64_t revision = 0;
-    // It knows all that was on record at `revision`: what it does not hold had been removed by then, or never was.
-    // Records beyond that revision may be among those it holds.
+    // It holds all that was on record at `revision`: what it lacks had been removed by then, or never existed. Records
+    // beyond that revision may be among those it holds.
     bool whole = false;
     std::map<std::string, Record> records;
 };
 
 struct Merged {
     std::map<std::string, std::string> records;  // key -> JSON
-    // Things that do not fit together, or are known to have been and are gone; each is a line for the operator.
-    std::vector<std::string> doubts;
+    // Records that contradict each other, or are known to have existed and are lost. Each is a line for the operator.
+    std::vector<std::string> unrecoverable;
 };
 
-// The order of the sources does not matter. `store` is what the state service holds now: its stamps are of no history
-// that the others know, so it adds what nobody else knows of, and ends what others believe to be open.
-//   - Of a key, the newest of the newest generation holds; older generations count only where no whole source of a
+// Merges all sources. Their order does not matter. `store` is what the store holds now: its mod revisions belong to no
+// history that the others know, so it adds what nobody else knows of, and ends what others believe to be open.
+//   - Of a key, the newest value of the newest generation wins; older generations count only where no whole source of a
 //     newer one exists.
 //   - Work that a whole source lacks, though it is old enough to be known there and the source knows its job's outcome,
 //     had been removed.
 //   - An outcome beats open work. Work of a job that is done is left out; of a cancelled one it stays, for its tasks
 //     have to be found and stopped.
-//   - Work without its first record is nobody's: the submission is lost, and said so.
+//   - Work without its first record is dropped: the submission is lost, and reported.
 Merged merge(const std::vector<ReplicaContents>& sources, const ReplicaContents& store);
 
 }  // namespace flintdale::recovery
--- /dev/null
+++ b/src/recovery/record_follower.cpp
@@ -0,0 +1,140 @@
+#include "recovery/record_follower.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "recovery/record_keys.hpp"
+
+namespace flintdale::recovery {
+
+using model::Clock;
+using state::Outcome;
+using state::RequestPriority;
+using Look = RecoveryCallbacks::Look;
+
+void RecordFollower::restart() {
+    following_ = false;
+    last_page_key_.reset();
+}
+
+awaitable<bool> RecordFollower::load_and_verify() {
+    if (!following_) co_await read_changes();
+    if (following_) co_await read_next_page();
+    if (!context_.replica.whole()) co_return false;
+    co_return co_await verify();
+}
+
+awaitable<void> RecordFollower::read_changes() {
+    if (!following_) {
+        co_await start_following();
+        co_return;
+    }
+    const auto began = Clock::now();
+    auto changes = co_await check_.read_changes(scheduler::jobs_prefix);
+    if (changes.seen.outcome == Outcome::too_old) {
+        following_ = false;
+        co_return;
+    }
+    if (changes.seen.outcome != Outcome::ok) co_return;
+    if (changes.went_back) {
+        context_.suspect_revision_rollback(changes.seen.revision);
+        co_return;
+    }
+    apply_changes(std::move(changes.seen), began);
+}
+
+awaitable<void> RecordFollower::start_following() {
+    const auto began = Clock::now();
+    // No key comes after this one: the answer only tells the store's revision.
+    const auto here = co_await context_.store.range(scheduler::jobs_prefix, std::string(scheduler::jobs_prefix) + "~",
+                                                    RequestPriority::bookkeeping);
+    if (here.outcome != Outcome::ok) co_return;
+    const auto& marker = *context_.whole_marker;
+    if (here.revision < marker.mod_revision) {
+        context_.suspect_loss("its revisions went back: the marker is of " + std::to_string(marker.mod_revision) +
+                              ", it stands at " + std::to_string(here.revision));
+        co_return;
+    }
+    auto& replica = context_.replica;
+    const auto before = replica.source("so far");
+    replica.begin(marker.generation, marker.id, here.revision);
+    // Deferred outcomes, and what this controller has written meanwhile.
+    for (const auto& [key, record] : before.records)
+        replica.apply_own_write({key, boost::json::parse(record.text), 0}, record.mod_revision);
+    following_ = true;
+    last_page_key_ = std::string();
+    context_.callbacks.outcomes({}, began, Look::after_a_gap);
+}
+
+void RecordFollower::apply_changes(state::WatchResult seen, model::TimePoint began) {
+    auto& replica = context_.replica;
+    for (const auto& event : seen.events)
+        if (is_outcome_key(event.key) && replica.outcome_of(uid_of_outcome_key(event.key)))
+            digest_.invalidate();  // an outcome that was restored has a new mod revision
+    for (const auto& key : replica.apply_changes(seen)) {
+        spdlog::error("event=unexpected_record_removal key={}", key);
+        context_.record_missing(key);
+    }
+    // Any of these terms may have placed tasks by these records, except for those that rebuilt them.
+    context_.terms.add(context_.callbacks.seen_term());
+    std::vector<state::KeyValue> outcomes;
+    for (std::size_t i = 0; i < seen.events.size(); ++i)
+        if (!seen.deleted[i] && is_outcome_key(seen.events[i].key)) outcomes.push_back(std::move(seen.events[i]));
+    context_.callbacks.outcomes(outcomes, began, Look::changes);
+}
+
+awaitable<void> RecordFollower::read_next_page() {
+    auto& replica = context_.replica;
+    while (last_page_key_) {
+        const auto checked =
+            co_await check_.read_page(scheduler::jobs_prefix, *last_page_key_, RequestPriority::bookkeeping);
+        const auto& page = checked.read;
+        if (page.outcome != Outcome::ok || !last_page_key_) co_return;
+        if (checked.went_back) {
+            // To take this page for all there is would be to forget what was lost.
+            context_.suspect_revision_rollback(page.revision);
+            co_return;
+        }
+        replica.add_page(page.items);
+        if (page.more && !page.items.empty()) {
+            last_page_key_ = page.items.back().key;
+            if (context_.replica_verified) co_return;
+            continue;
+        }
+        last_page_key_.reset();
+        replica.pages_complete();
+        spdlog::info("event=replica_loaded records={} generation={} revision={}", replica.size(), replica.generation(),
+                     replica.revision());
+    }
+}
+
+awaitable<bool> RecordFollower::verify() {
+    if (context_.replica_verified) co_return true;
+    const auto read = co_await digest_.read();
+    if (read.outcome != Outcome::ok) co_return false;
+    const auto stored = parse_digest(read.item);
+    if (stored && stored->generation == context_.whole_marker->generation) {
+        // The digest may count what ended while the pages were being read: it says nothing until the replica has
+        // reached its revision.
+        if (context_.replica.revision() < stored->revision) co_await read_changes();
+        if (context_.loss_suspected() || !following_ || context_.replica.revision() < stored->revision) co_return false;
+        if (!matches(*stored)) co_return false;
+    }
+    context_.replica_verified = true;
+    co_return true;
+}
+
+bool RecordFollower::matches(const StoredDigest& stored) {
+    const auto& replica = context_.replica;
+    const auto present = replica.digest(stored.revision);
+    if (present == stored.outcomes && replica.jobs() >= stored.jobs) return true;
+    context_.suspect_loss(std::to_string(stored.outcomes.outcomes) + " outcomes of " + std::to_string(stored.jobs) +
+                              " jobs were on record at " + std::to_string(stored.revision) + ", and " +
+                              std::to_string(present.outcomes) + " of " + std::to_string(replica.jobs()) + " are at " +
+                              std::to_string(replica.revision()),
+                          Loss::beyond_memory);
+    return false;
+}
+
+}  // namespace flintdale::recovery
--- /dev/null
+++ b/src/recovery/record_scrubber.cpp
@@ -0,0 +1,158 @@
+#include "recovery/record_scrubber.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "recovery/record_keys.hpp"
+
+namespace flintdale::recovery {
+
+using model::Clock;
+using state::Outcome;
+using state::RequestPriority;
+using Finding = ConsistencyCheck::Finding;
+using Verdict = Finding::Verdict;
+
+namespace {
+
+constexpr auto scrub_interval = std::chrono::seconds(5);
+constexpr std::size_t max_restored_records = 16;  // where more are lost nobody knows how much is
+
+}  // namespace
+
+awaitable<void> RecordScrubber::scrub_if_due() {
+    if (context_.leadership.term || !context_.replica.whole() || Clock::now() < next_scrub_) co_return;
+    next_scrub_ = Clock::now() + scrub_interval;
+    co_await scrub_page();
+}
+
+awaitable<void> RecordScrubber::scrub_page() {
+    const auto checked =
+        co_await check_.read_page(scheduler::jobs_prefix, last_scrubbed_key_, RequestPriority::bookkeeping);
+    const auto& page = checked.read;
+    if (page.outcome != Outcome::ok || context_.loss_suspected() || !context_.replica.whole()) co_return;
+    if (checked.went_back) {
+        context_.suspect_revision_rollback(page.revision);
+        co_return;
+    }
+    last_scrubbed_key_ = page.more && !page.items.empty() ? page.items.back().key : std::string();
+    // Most of it was removed, or its job ended, since the mark: each key is read again before anything is concluded.
+    context_.missing_keys.insert(checked.missing.begin(), checked.missing.end());
+}
+
+awaitable<void> RecordScrubber::recheck_missing(state::GenerationMarker marker) {
+    next_recheck_ = Clock::now() + retry_interval;
+    if (!context_.replica.whole() || !follower_.following()) co_return;
+    Findings lost;
+    const bool found = co_await find_lost(lost);
+    if (!found) co_return;
+    const bool caught_up = co_await catch_up(lost);
+    if (!caught_up) {
+        for (auto& finding : lost) context_.missing_keys.insert(std::move(finding.key));
+        co_return;
+    }
+    drop_explained(lost);
+    for (const auto& finding : lost)
+        spdlog::error("event=record_lost key={} expected={} present={} revision={} replica_revision={}", finding.key,
+                      context_.replica.expected(finding.key), finding.present, finding.revision,
+                      context_.replica.revision());
+    if (lost.size() > max_restored_records)
+        context_.suspect_loss(
+            std::to_string(lost.size()) + " records are gone that are remembered, the first of them " + lost[0].key,
+            Loss::records);
+    else if (!lost.empty())
+        co_await restore_records(std::move(marker), std::move(lost));
+}
+
+awaitable<bool> RecordScrubber::find_lost(Findings& lost) {
+    bool all_compared = false;
+    for (;;) {
+        const bool rechecked = co_await recheck_keys(lost);
+        if (!rechecked || lost.empty()) co_return false;
+        if (all_compared || lost.size() > max_restored_records) co_return true;
+        // Where one is lost others may be.
+        all_compared = co_await compare_all_pages();
+        if (!all_compared || context_.loss_suspected()) co_return false;
+    }
+}
+
+awaitable<bool> RecordScrubber::recheck_keys(Findings& lost) {
+    auto& keys = context_.missing_keys;
+    std::set<std::string> unclear;
+    while (!keys.empty() && lost.size() <= max_restored_records) {
+        auto key = keys.extract(keys.begin()).value();
+        auto finding = co_await check_.recheck(std::move(key), RequestPriority::user);
+        if (context_.loss_suspected() || !context_.replica.whole()) co_return false;
+        if (finding.verdict == Verdict::unclear) unclear.insert(finding.key);
+        if (finding.verdict == Verdict::lost) lost.push_back(std::move(finding));
+    }
+    keys.merge(unclear);
+    co_return true;
+}
+
+awaitable<bool> RecordScrubber::compare_all_pages() {
+    std::string after;
+    for (;;) {
+        const auto checked = co_await check_.read_page(scheduler::jobs_prefix, after, RequestPriority::user);
+        if (context_.loss_suspected() || !context_.replica.whole() || checked.read.outcome != Outcome::ok)
+            co_return false;
+        context_.missing_keys.insert(checked.missing.begin(), checked.missing.end());
+        if (!checked.read.more || checked.read.items.empty()) co_return true;
+        after = checked.read.items.back().key;
+    }
+}
+
+awaitable<bool> RecordScrubber::catch_up(const Findings& lost) {
+    const auto newest = std::max_element(lost.begin(), lost.end(),
+                                         [](const Finding& a, const Finding& b) { return a.revision < b.revision; });
+    const auto revision = newest->revision;
+    const auto& replica = context_.replica;
+    if (replica.revision() < revision) co_await follower_.read_changes();
+    co_return !context_.loss_suspected() && replica.whole() && replica.revision() >= revision;
+}
+
+// Removed in good order, restored or written anew since the second read.
+void RecordScrubber::drop_explained(Findings& lost) const {
+    std::erase_if(lost, [&](const Finding& finding) {
+        const auto expected = context_.replica.expected(finding.key);
+        return expected == 0 || expected > finding.revision || (expected <= finding.present && !finding.damaged);
+    });
+}
+
+// By conditional writes: on this history, on what was found there, and on no outcome that somebody wrote meanwhile.
+// What is written is the newest value that ever was on record, since the replica holds everything up to the finding;
+// from then on whoever wrote the key on the condition of the mod revision that was lost has failed.
+state::Txn RecordScrubber::restoring_txn(const state::GenerationMarker& marker, const Finding& finding,
+                                         const Record& record) const {
+    state::Txn txn;
+    txn.conditions.push_back({state::marker_key, marker.mod_revision});
+    txn.conditions.push_back({finding.key, finding.present});
+    if (const auto work = scheduler::parse_work_key(finding.key))
+        txn.conditions.push_back({scheduler::outcome_key(work->uid), 0});
+    txn.changes.push_back({finding.key, boost::json::parse(record.text), 0});
+    // The digest counts outcomes by their mod revisions. The leader writes another when it sees that one came back.
+    if (is_outcome_key(finding.key)) txn.changes.push_back({digest_key, std::nullopt, 0});
+    return txn;
+}
+
+awaitable<void> RecordScrubber::restore_records(state::GenerationMarker marker, Findings lost) {
+    for (auto& finding : lost) {
+        const auto record = context_.replica.record(finding.key);
+        if (!record) continue;
+        auto txn = restoring_txn(marker, finding, *record);
+        auto change = txn.changes[0];
+        const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::user);
+        if (context_.loss_suspected()) co_return;
+        if (result.outcome == Outcome::ok) {
+            context_.replica.apply_own_write(change, result.revision);
+            digest_.invalidate();
+            spdlog::error("event=record_restored key={} revision={}", finding.key, result.revision);
+        } else {
+            // Somebody else's may be there, or this write, or it was refused.
+            context_.missing_keys.insert(std::move(finding.key));
+        }
+    }
+}
+
+}  // namespace flintdale::recovery
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -1,209 +1,131 @@
-// Keeps watch over what the state service holds, and rebuilds it after a loss. One runs in every controller. It knows
-// the marker, remembers the records of jobs, and opens or closes them for everybody else in the process; while the
-// records are lost, the one that leads gathers what all remember, merges it and writes it back. docs/rebuilding.md.
+// Watches over the records in the key-value store, and rebuilds them after a loss. One runs in every controller. It
+// follows the generation marker, keeps a replica of the records of jobs, and opens or closes the guarded store for the
+// rest of the process. While the records are lost, the controller that leads gathers all replicas, merges them and
+// writes the result back. docs/rebuilding.md has the argument. It knows nothing of scheduling.
+//
+// This class holds the state machine; each other task of the package has a class of its own. Nothing that its loop
+// waits for may have a lower request priority than bookkeeping: while it waits, a term that was just won does not
+// begin. A scrubbing that waited for spare requests once kept a leader from its workers for 48 s.
 #pragma once
-#include <functional>
-#include <set>
-#include <unordered_map>
-
-#include "config/settings.hpp"
-#include "election/elector.hpp"
-#include "model/clock.hpp"
 #include "model/heartbeat.hpp"
 #include "recovery/consistency_check.hpp"
-#include "recovery/record_replica.hpp"
-#include "recovery/snapshot_file.hpp"
-#include "state/generation_marker.hpp"
-#include "state/guarded_store.hpp"
-#include "state/record_format.hpp"
+#include "recovery/deferred_outcomes.hpp"
+#include "recovery/late_records.hpp"
+#include "recovery/marker_store.hpp"
+#include "recovery/outcome_digest.hpp"
+#include "recovery/record_follower.hpp"
+#include "recovery/record_keys.hpp"
+#include "recovery/record_scrubber.hpp"
+#include "recovery/records_rebuilder.hpp"
+#include "recovery/recovery_context.hpp"
+#include "recovery/replica_offers.hpp"
+#include "recovery/snapshot_writer.hpp"
 
 namespace flintdale::recovery {
 
-using net::awaitable;
-
-inline constexpr const char* offers_prefix = "recovery/offer/";
-// How many outcomes there were at some revision.
-inline constexpr const char* digest_key = "recovery/digest";
-// There while tasks may be on machines that no record names; removed by the leader that has heard all machines.
-// Outcomes that are not back in their places yet, in pages: as good as on record.
-inline constexpr const char* owed_prefix = "recovery/owed/";
-inline constexpr const char* unsettled_key = "recovery/witness/unsettled";
-
 class RecoveryCoordinator {
   public:
-    struct Callbacks {
-        std::function<std::int64_t()> time_of_day_ms;
-        // The records are whole, and this term may go by them. `unsettled`: tasks may be on machines without a record.
-        std::function<void(election::Term, bool unsettled)> begin;
-        std::function<void(const char* why)> new_term;  // a term that began before the loss must end
-        // A look at the outcomes that began then showed these.
-        enum class Look : std::uint8_t { after_a_gap, changes, all };
-        std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, Look look)> outcomes;
-        std::function<void()> rebuilt;  // the records are whole again, and may be others
-        std::function<std::uint64_t()> seen_term;
-        std::uint64_t incarnation = 0;  // of this controller: another one each time that it is started
+    using Callbacks = RecoveryCallbacks;
+    using Loss = recovery::Loss;
+    using PeerRecordsStatus = recovery::PeerRecordsStatus;
+
+    enum class State : std::uint8_t {
+        following,       // the records are whole as far as is known, or the marker has not been read yet
+        loss_suspected,  // something indicated a loss; the marker says whether it stays at that
+        standing_by,     // the records are lost, and another controller rebuilds them or none does yet
+        rebuilding,      // the records are lost, and this controller rebuilds them
     };
 
-    // `raw` is the service itself, `guarded` what the rest of the process uses.
-    RecoveryCoordinator(net::Executor ex, state::Store& raw, state::GuardedStore& guarded,
+    // `store` is the store itself, `guarded_store` what the rest of the process uses. The references must outlive this.
+    RecoveryCoordinator(net::Executor executor, state::Store& store, state::GuardedStore& guarded_store,
                         const config::Settings& settings, const state::RecordFormat& record_format,
                         SnapshotFile snapshot_file, Callbacks callbacks);
 
+    // Runs for ever. Everything else may be called before it starts.
     awaitable<void> run();
 
     // This controller has won a term, or lost it.
     void term_won(election::Term term);
     void term_lost();
-    // Something showed that data were lost. `records`: single ones that are remembered, while the history went on;
-    // `beyond_memory`: more than this controller remembers, so that nobody may know where tasks were placed last.
-    enum class Loss : std::uint8_t { records, seen, beyond_memory };
-    void suspect_loss(std::string why, Loss loss = Loss::seen);
-    // An answer showed this key absent, or older than it was remembered to be. Nothing is concluded from that alone: it
-    // is looked at again, and put back if it and few others are gone.
-    void record_missing(const std::string& key);
+    // Something indicated that data were lost. The guarded store is closed until that is resolved.
+    void suspect_loss(std::string why, Loss loss = Loss::seen) { context_.suspect_loss(std::move(why), loss); }
+    // An answer showed this key absent, or older than the replica holds it. The key is read again, and its record
+    // restored if it and few others are lost.
+    void record_missing(const std::string& key) { context_.record_missing(key); }
+    // A change to the records that this controller made was acknowledged under that revision.
     void record_written(const state::Change& change, std::uint64_t revision) {
-        replica_.apply_own_write(change, revision);
+        context_.replica.apply_own_write(change, revision);
     }
     // All machines have been heard since the records were rebuilt.
-    void reconciliation_complete() { settled_ = true; }
+    void reconciliation_complete() { context_.terms.reconciled = true; }
     // Users were told what this record says.
     void reported_to_user(const state::KeyValue& item) {
-        replica_.apply_own_write({item.key, item.value, 0}, item.mod_revision);
+        context_.replica.apply_own_write({item.key, item.value, 0}, item.mod_revision);
     }
-    // What a peer said of itself: the generation it knows, 0 if none, and up to where it remembers that.
-    struct PeerRecordsStatus {
-        std::uint64_t generation = 0, remembers = 0;
-        std::string id;
-        std::uint64_t rebuilding = 0;  // the generation that it sees being rebuilt, 0 if none
-        model::TimePoint heard{};
-    };
-    void peer_status_received(const std::string& member, PeerRecordsStatus word);
+    // What a peer said of its replica, just now.
+    void peer_status_received(const std::string& member, PeerRecordsStatus status);
     PeerRecordsStatus own_status() const;
-    // Jobs that a worker shows while the records are not whole, to be missed if nobody remembers them.
-    void tasks_reported(const model::Heartbeat& report);
+    // A worker's heartbeat arrived while the records are lost: its jobs are missed if no replica holds them.
+    void tasks_reported(const model::Heartbeat& report) { rebuilder_.tasks_reported(report); }
 
-    // The outcome of a job that is remembered, and whether it is remembered at all. What is not on record and yet
-    // remembered is either owed, or was lost.
-    std::optional<RecordReplica::Outcome> outcome_of(const std::string& uid) const { return replica_.outcome_of(uid); }
+    // The outcome of a job that the replica holds; nothing if it holds no such job. A job that it holds and that is not
+    // on record was lost, or its outcome is deferred.
+    std::optional<RecordReplica::Outcome> outcome_of(const std::string& uid) const {
+        return context_.replica.outcome_of(uid);
+    }
 
-    // Whether a job that is neither on record nor remembered never was.
+    // Whether a job that is neither on record nor in the replica is certain never to have existed.
     bool knows_all_jobs() const;
-    // The marker is known: it was whole since this controller began.
-    bool ready() const { return known_.has_value(); }
-    bool recovering() const { return rebuilding_; }
-    // The term under which the records were rebuilt last; of those below it none need be on record.
-    std::uint64_t recovered_in_term() const { return known_ ? known_->term : 0; }
-    const RecordReplica& replica() const { return replica_; }
+    // The marker is known: it was whole since this controller started.
+    bool ready() const { return context_.whole_marker.has_value(); }
+    State state() const;
+    bool recovering() const { return context_.records_lost; }
+    // The term under which the records were rebuilt last. Those below it need not be on record.
+    std::uint64_t recovered_in_term() const { return context_.whole_marker ? context_.whole_marker->term : 0; }
+    const RecordReplica& replica() const { return context_.replica; }
 
   private:
     using GenerationMarker = state::GenerationMarker;
-    using KeyValue = state::KeyValue;
-    struct Present {
-        ReplicaContents source;
-        std::map<std::string, std::uint64_t> mod_revisions;
-    };
-    // Everything that was offered, and whether the last leader's own memory is among it.
-    struct Gathered {
-        std::vector<ReplicaContents> sources;
-        std::vector<std::string> missing;  // controllers that made none
-        bool placements_known = false;
-    };
 
-    // The marker: made, doubted, replaced.
-    struct History {
-        std::uint64_t generation = 0;
-        std::string id;
-    };
-    std::vector<History> histories() const;
-    awaitable<void> without_marker(const std::vector<History>& known);
-    bool may_create() const;
-    std::uint64_t newest_generation() const;
-    // The records were rebuilt without the last placements, and nobody here has seen that all machines were heard
-    // since.
-    bool unsettled() const { return known_ && known_->beyond_memory && !settled_; }
-    std::uint64_t newest_remembered() const;
-    static bool outdated(const GenerationMarker& marker, const std::vector<History>& known);
-    void clear_suspicion();
-    void term_seen(std::uint64_t term);
-    awaitable<void> declare_loss(std::uint64_t over, std::uint64_t generation, std::string why);
-    awaitable<std::uint64_t> put(const GenerationMarker& marker);
-    awaitable<std::uint64_t> put_with(const GenerationMarker& marker, std::vector<state::Change> with);
+    // The marker.
+    awaitable<void> act_on(state::KeyValue item, std::vector<History> known);
+    awaitable<void> handle_missing_marker(std::vector<History> known);
+    bool may_create_marker() const;
+    awaitable<void> declare_loss(std::uint64_t replaced_revision, std::uint64_t generation, std::string why);
 
     // While the records are whole.
     awaitable<void> follow_whole_records(GenerationMarker marker);
-    awaitable<bool> read_deferred_outcomes(RecordReplica& replica);
-    awaitable<bool> confirm(const GenerationMarker& marker);
-    awaitable<void> read_changes();
-    awaitable<void> read_next_page();
-    awaitable<bool> verify();
-    awaitable<void> scrub();
-    awaitable<void> check_missing_records(const GenerationMarker& marker);
-    awaitable<bool> check_next_page();
-    awaitable<void> restore_few(const GenerationMarker& marker, std::vector<ConsistencyCheck::Finding> gone);
-    awaitable<void> write_digest();
-    awaitable<bool> add_late_records();
-    awaitable<void> restore_deferred_outcomes();
-    void write_snapshot();
+    awaitable<bool> begin_history(GenerationMarker marker);
+    void reset_history();
+    awaitable<void> run_following_loop(GenerationMarker marker);
+    bool following_continues() const;
+    // False if a loss is suspected now.
+    awaitable<bool> read_if_due();
+    awaitable<bool> restore_missing(GenerationMarker marker);
+    awaitable<void> run_leader_tasks(GenerationMarker marker);
+    awaitable<void> pause_following();
+    awaitable<bool> confirm_term(GenerationMarker marker);
 
     // While they are not.
-    awaitable<void> stand_by(GenerationMarker marker);
-    awaitable<bool> offer_replica(const GenerationMarker& marker);
-    std::vector<ReplicaContents> own_sources(const std::string& of, std::uint64_t remembers) const;
-    awaitable<void> rebuild_records(GenerationMarker marker);
-    awaitable<std::optional<Gathered>> gather_offers(const GenerationMarker& marker);
-    ReplicaContents offered(const std::string& member, std::size_t k, const boost::json::value& entry,
-                            const std::map<std::string, const KeyValue*>& by_key) const;
-    std::optional<Gathered> read_offers(const GenerationMarker& marker, const std::vector<KeyValue>& items,
-                                        bool last_call) const;
-    awaitable<std::optional<Present>> present();
-    // How many records were missing, or nothing if it was interrupted.
-    awaitable<std::optional<std::size_t>> restore(const GenerationMarker& marker, const Merged& merged,
-                                                  Present present);
-    awaitable<bool> write_back(const GenerationMarker& marker, std::vector<state::Change> changes,
-                               std::map<std::string, std::uint64_t>& mod_revisions);
-    awaitable<std::optional<std::vector<KeyValue>>> read_all(std::string prefix);
-    awaitable<void> remove_all(std::string prefix, std::vector<state::Condition> conditions);
-    std::vector<std::pair<std::string, std::string>> pages(const std::string& prefix,
-                                                           const ReplicaContents& source) const;
-    std::vector<state::Condition> leading_conditions(const GenerationMarker& marker) const;
-
-    state::Store& raw_;
-    state::GuardedStore& guarded_;
-    const config::Settings& settings_;
-    const state::RecordFormat& record_format_;
-    SnapshotFile snapshot_file_;
-    Callbacks callbacks_;
-    net::Wakeup wake_;
+    awaitable<void> recover(GenerationMarker marker);
+    void note_loss(const GenerationMarker& marker);
+    bool may_rebuild(const GenerationMarker& marker) const;
 
-    std::optional<GenerationMarker> known_;             // the newest that was whole
-    std::optional<std::string> doubt_;                  // why it may be so no more
-    bool beyond_memory_ = false, records_only_ = true;  // all that has been doubted
-    bool recheck_ = false;                              // the marker should be read again
-    model::TimePoint began_{}, checked_at_{}, shelved_at_{}, rebuild_began_{};
-    std::unordered_map<std::string, PeerRecordsStatus> peers_;
-
-    RecordReplica replica_;
+    RecoveryContext context_;
+    MarkerStore markers_{context_};
     ConsistencyCheck consistency_check_;
-    std::set<std::string> suspects_;  // keys to be looked at again
-    model::TimePoint next_look_again_{};
-    std::optional<RecordReplica> former_;  // of the history before, until what only it holds is on record
-    bool following_ = false;
-    bool verified_ = false;       // what there was when this controller began is all there should have been
-    std::uint64_t digested_ = 0;  // what the last digest counted
-    bool late_added_ = true;      // what only former_ holds is on record
-    model::TimePoint next_digest_{}, next_scrub_{}, certain_at_{}, former_until_{}, next_late_{};
-    std::string scrub_at_;                // the last key that was held against the memory
-    std::optional<std::string> fill_at_;  // the last key of the pages read so far; nothing once all are
-    std::map<std::string, std::vector<std::string>> owed_;  // page -> jobs whose outcomes are in it
-
-    std::optional<election::Term> term_;
-    bool begun_ = false;            // the leader_term of that term
-    bool settled_ = false;          // as far as this controller has seen, since the last rebuilding
-    std::uint64_t led_ = 0;         // the last term in the history of replica_ that it reigned in,
-    std::set<std::uint64_t> seen_;  // and the highest that were about
-    bool rebuilding_ = false, clear_offers_ = false;
-    std::string offered_to_;  // the marker, by identity and stamp
-    std::set<std::string> shown_;
+    OutcomeDigest digest_{context_, markers_};
+    RecordFollower follower_{context_, consistency_check_, digest_};
+    RecordScrubber scrubber_{context_, consistency_check_, follower_, digest_};
+    DeferredOutcomes deferred_outcomes_{context_, markers_};
+    LateRecords late_records_{context_};
+    ReplicaOffers offers_{context_, markers_};
+    RecordsRebuilder rebuilder_{context_, markers_, offers_};
+    SnapshotWriter snapshots_;
+
+    model::TimePoint started_at_;
+    model::TimePoint certain_at_{};        // from then on knows_all_jobs() no longer waits for missing members
+    model::TimePoint next_change_read_{};  // within run_following_loop()
 };
 
 }  // namespace flintdale::recovery
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -57,7 +57,7 @@
         auto out = recovery::merge(in, store);
         if (!first) first = out;
         EXPECT_EQ(out.records, first->records);
-        EXPECT_EQ(out.doubts, first->doubts);
+        EXPECT_EQ(out.unrecoverable, first->unrecoverable);
     } while (std::next_permutation(order.begin(), order.end()));
     return *first;
 }
@@ -95,7 +95,7 @@
                            source(1, 8, true, {{"jobs/work/run-1", {5, work(0)}}}),
                            source(1, 12, false, {{"jobs/work/run-1", {11, work(2)}}})});
     EXPECT_EQ(r.records.at("jobs/work/run-1"), work(2));
-    EXPECT_TRUE(r.doubts.empty());
+    EXPECT_TRUE(r.unrecoverable.empty());
 }
 
 TEST(MergeTest, OutcomeBeatsOpenWorkAndWorkOfACancelledJobStaysUntilItsTasksAreFound) {
@@ -153,7 +153,7 @@
                                    {"jobs/work/run-3", {22, work(1)}}}),
                            source(1, 50, true, {{"jobs/work/run-3", {22, work(2)}}})});
     EXPECT_EQ(r.records, (std::map<std::string, std::string>{{"jobs/work/run-3", work(2)}}));
-    EXPECT_EQ(r.doubts, (std::vector<std::string>{"submission lost run-1", "two values of jobs/work/run-3",
+    EXPECT_EQ(r.unrecoverable, (std::vector<std::string>{"submission lost run-1", "two values of jobs/work/run-3",
                                                   "unreadable jobs/work/run-2"}));
 }
 
@@ -577,13 +577,13 @@
     const auto revision = store.keys.revision();
     store.keys = copy;
     auto f = look("jobs/work/run-1");
-    EXPECT_EQ(f.verdict, Verdict::gone);
-    EXPECT_EQ(f.remembered, revision);
-    EXPECT_EQ(f.there, copy.get("jobs/work/run-1").mod_revision);
+    EXPECT_EQ(f.verdict, Verdict::lost);
+    EXPECT_EQ(f.expected, revision);
+    EXPECT_EQ(f.present, copy.get("jobs/work/run-1").mod_revision);
     put("jobs/over/run-2", "");
     f = look("jobs/over/run-2");
-    EXPECT_EQ(f.verdict, Verdict::gone);
-    EXPECT_EQ(f.there, 0u);
+    EXPECT_EQ(f.verdict, Verdict::lost);
+    EXPECT_EQ(f.present, 0u);
     put("jobs/over/run-2", "7");
     EXPECT_TRUE(look("jobs/over/run-2").damaged);
 }
