--- /dev/null
+++ b/src/scheduler/failure_tracker.cpp
@@ -0,0 +1,47 @@
+#include "scheduler/failure_tracker.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace flintdale::scheduler {
+
+namespace {
+constexpr unsigned quarantine_jobs = 2;                            // that failed on a machine and not everywhere
+constexpr std::chrono::seconds first_pause{5}, longest_pause{60};  // between tries of a job that fails everywhere
+constexpr unsigned max_doublings = 8;                              // of the pause
+}  // namespace
+
+void FailureTracker::record_failure(Job& job, Machine& machine, TimePoint now) {
+    job.failed_on.insert(machine.name);
+    ++job.errors;
+    machine.failed_jobs.insert(job.spec.uid);
+    if (job.doubtful()) {
+        clear_machines(job);
+        // Tasks that ran at the same time fail together, and count once.
+        if (now >= job.eligible_at) back_off(job, now);
+    } else if (machine.failed_jobs.size() >= quarantine_jobs) {
+        if (!machine.quarantined)
+            spdlog::info("event=machine_quarantined machine={} type={}", machine.name, machine.type);
+        machine.quarantined = true;
+    }
+}
+
+// A job that fails wherever it goes is no evidence against machines: its earlier failures no longer count against them.
+void FailureTracker::clear_machines(const Job& job) {
+    for (const auto& name : job.failed_on) {
+        auto* machine = state_.inventory.find(name);
+        if (!machine) continue;
+        machine->failed_jobs.erase(job.spec.uid);
+        machine->quarantined = machine->failed_jobs.size() >= quarantine_jobs;
+    }
+}
+
+void FailureTracker::back_off(Job& job, TimePoint now) {
+    const auto pause = std::min(first_pause * (1 << std::min(job.failures++, max_doublings)), longest_pause);
+    job.eligible_at = now + pause;
+    spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
+                  job.errors, pause.count());
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/fleet_view.cpp
@@ -0,0 +1,147 @@
+#include "scheduler/fleet_view.hpp"
+
+#include <algorithm>
+#include <string_view>
+
+namespace flintdale::scheduler {
+
+namespace {
+using namespace std::chrono_literals;
+constexpr double unusable_intervals = 2.2;  // heartbeat intervals of silence after which a machine gets no new work
+constexpr double overdue_intervals = 1.25;  // a heartbeat may come a quarter late
+constexpr Seconds packet_loss{1};           // and a packet may be lost on the way
+constexpr auto first_round_slack = 500ms;   // added to the first round of heartbeats of a term
+constexpr double nearly_all = 0.95;         // of the machines with work, whose heartbeat a new leader waits for
+constexpr std::size_t few_in_zone = 8;      // machines of a zone that may all be silent by chance
+constexpr double quiet_zone_window = 0.5;   // of a heartbeat interval
+
+// Whether the machine should report: it has, or it has tasks, and nothing says that it is gone.
+bool expected_to_report(const Machine& machine) {
+    if (machine.releasing || machine.unlisted || machine.listed_failed) return false;
+    return machine.reported || !machine.tasks.empty();
+}
+}  // namespace
+
+bool FleetView::usable(const Machine& machine, TimePoint now) const {
+    return machine.reported && !machine.releasing && !machine.retiring && !machine.cordoned && !machine.quarantined &&
+           !machine.terminates_at && !machine.listed_failed &&
+           now - machine.last_report < model::to_clock(state_.settings.heartbeat_interval * unusable_intervals);
+}
+
+std::size_t FleetView::usable_machines(TimePoint now) const {
+    std::size_t n = 0;
+    for (const auto& [name, m] : state_.inventory.all()) n += usable(*m, now);
+    return n;
+}
+
+Seconds FleetView::heartbeat_overdue() const {
+    return state_.settings.heartbeat_interval * overdue_intervals + packet_loss;
+}
+
+HeartbeatCoverage FleetView::heartbeat_coverage(TimePoint now) const {
+    HeartbeatCoverage out;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        if (!expected_to_report(*machine)) continue;
+        ++out.expected;
+        out.heard += now - machine->last_report < model::to_clock(heartbeat_overdue());
+    }
+    return out;
+}
+
+// A zone that is cut off falls silent as a whole, and that shows before the first of its machines has been silent for
+// long: in half a heartbeat interval half of them should report. Single machines, or many that died, change that share
+// little.
+std::vector<bool> FleetView::quiet_zones(TimePoint now) const {
+    struct Count {
+        std::size_t expected = 0, reported = 0;
+    };
+    std::vector<Count> zones;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        if (!expected_to_report(*machine)) continue;
+        const auto zone = machine->row.zone;
+        if (zone >= zones.size()) zones.resize(zone + 1);
+        ++zones[zone].expected;
+        zones[zone].reported +=
+            machine->reported &&
+            now - machine->last_report < model::to_clock(state_.settings.heartbeat_interval * quiet_zone_window);
+    }
+    std::vector<bool> out(zones.size());
+    for (std::size_t zone = 0; zone < zones.size(); ++zone) {
+        const auto& count = zones[zone];
+        out[zone] =
+            zone != placement::unknown_zone && count.expected >= few_in_zone && count.reported * 8 < count.expected;
+    }
+    return out;
+}
+
+placement::Planner FleetView::make_planner(TimePoint now) const {
+    std::vector<placement::Host> hosts;
+    for (const auto& [name, m] : state_.inventory.all())
+        if (usable(*m, now) && (!state_.awaiting_reconciliation || reconciled(*m))) hosts.push_back(m->row);
+    return placement::Planner(std::move(hosts), state_.rules.memory_margin);
+}
+
+// Until it has received one round of heartbeats, a new leader does not know the load. If no work was on record when it
+// began, there is no load to wait for.
+bool FleetView::first_round_complete(TimePoint now) const {
+    if (state_.awaiting_reconciliation && !all_listed()) return false;
+    const auto round = state_.settings.heartbeat_interval * overdue_intervals + first_round_slack;
+    if (!state_.inherited_tasks || now >= after(state_.term_began, round)) return true;
+    // Workers report to a higher term at once. Some are gone for good, and the rest need not wait for those.
+    double working = 0, reported = 0;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        working += !machine->tasks.empty();
+        reported += !machine->tasks.empty() && machine->reported;
+    }
+    return reported >= working * nearly_all;
+}
+
+void FleetView::machines_listed(const std::vector<model::ListedMachine>& machines, TimePoint now) {
+    listed_at_ = now;
+    for (const auto& listed : machines) {
+        // The list lags: what it still shows may be gone already, and then it must not come back.
+        if (state_.inventory.gone(listed.name)) continue;
+        const bool is_new = !state_.inventory.find(listed.name);
+        auto& machine = state_.inventory.add(listed.name, listed.type, listed.zone, listed.spot, now);
+        if (is_new) machine.known_since = now - model::to_clock(listed.age);
+        machine.listed_failed = listed.status == model::MachineStatus::failed;
+        if (listed.status == model::MachineStatus::booting) machine.starting_at = now;
+    }
+    // A list may be twice as old as usual, and does not show machines that are younger than that.
+    std::set<std::string_view> names;
+    for (const auto& listed : machines) names.insert(listed.name);
+    const auto shown_after = model::to_clock(state_.settings.machine_list_lag * 3 + Seconds(2));
+    for (auto& [name, machine] : state_.inventory.all())
+        machine->unlisted = !names.contains(name) && now - machine->known_since > shown_after;
+}
+
+// With the last placements lost, any waiting task may run on any machine that has not reported. A list names all
+// machines that are older than it lags; younger ones are named by a later one. A list may be twice as old as usual: one
+// that came so long after this term began shows every machine that existed then.
+model::Clock::duration FleetView::list_age() const {
+    return model::to_clock(state_.settings.machine_list_lag * 2 + Seconds(2));
+}
+
+bool FleetView::all_listed() const { return listed_at_ - state_.term_began >= list_age(); }
+
+// All that may run on the machine is known if it has shown its tasks under this term, or if it was still starting after
+// this term had begun, so that no earlier leader's command can have reached it.
+bool FleetView::reconciled(const Machine& machine) const {
+    return (machine.current && !with_unknown_tasks_.contains(machine.name)) ||
+           machine.starting_at - list_age() >= state_.term_began;
+}
+
+bool FleetView::all_reconciled() const {
+    const auto& machines = state_.inventory.all();
+    return all_listed() &&
+           std::all_of(machines.begin(), machines.end(), [&](const auto& entry) { return reconciled(*entry.second); });
+}
+
+void FleetView::set_unknown_tasks(const Machine& machine, bool any) {
+    if (any)
+        with_unknown_tasks_.insert(machine.name);
+    else
+        with_unknown_tasks_.erase(machine.name);
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/job_lifecycle.cpp
@@ -0,0 +1,89 @@
+#include "scheduler/job_lifecycle.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace flintdale::scheduler {
+
+std::int64_t JobLifecycle::window_at(std::int64_t ms) const {
+    using std::chrono::milliseconds;
+    const auto window =
+        std::chrono::duration_cast<milliseconds>(model::to_clock(state_.operator_settings.batching_window)).count();
+    return ms / std::max<std::int64_t>(1, window);
+}
+
+Job& JobLifecycle::create(JobSpec spec, TimePoint now, bool known_before) {
+    auto job = std::make_unique<Job>();
+    job->tasks.resize(spec.tasks);
+    job->chunks.resize((spec.tasks + job->page - 1) / job->page);
+    job->priority = spec.priority;
+    job->arrived = now;
+    const auto window = model::to_clock(state_.operator_settings.batching_window);
+    job->window = window_at(spec.accepted_ms);
+    // A window that a former leader opened has closed by now. A critical service would come first in any window,
+    // having no length: there is nothing to gather before it is placed.
+    const bool first = spec.kind == model::JobKind::service && spec.priority == model::Priority::critical;
+    job->eligible_at = known_before || first ? now : TimePoint((now.time_since_epoch() / window + 1) * window);
+    job->spec = std::move(spec);
+    auto& added = state_.jobs.add(std::move(job));
+    state_.quota.opened(added.spec);
+    return added;
+}
+
+void JobLifecycle::cancel(Job& job, TimePoint at) {
+    if (job.cancelled) {
+        job.cancelled_at = std::min(job.cancelled_at, at);
+        return;
+    }
+    spdlog::info("event=job_cancelled job={} placed={}", job.spec.uid, job.placed);
+    job.cancelled = true;
+    job.cancelled_at = at;
+    state_.quota.over(job.spec);
+    for (std::uint32_t i = 0; i < job.spec.tasks && job.placed; ++i)
+        // A task that no run command was sent for runs nowhere; the others must be seen to be gone.
+        if (auto& t = job.tasks[i]; t.state == Task::State::placed && !t.sent)
+            tasks_.leave(job, i, Task::State::waiting, at);
+    state_.record_queue.add(job.spec.uid);
+}
+
+void JobLifecycle::finish(Job& job) {
+    job.finished = true;
+    state_.quota.over(job.spec);
+}
+
+void JobLifecycle::set_dependencies(Job& job, const std::vector<std::string>& dependencies, TimePoint now) {
+    const auto& uid = job.spec.uid;
+    const auto news = state_.dependencies.opened(uid, job.spec.priority, dependencies);
+    job.priority = state_.dependencies.priority(uid);
+    job.waits = state_.dependencies.waits(uid);
+    if (!job.waits && !dependencies.empty()) apply({{uid}, {}, {}}, now);
+    apply(news, now);
+}
+
+bool JobLifecycle::apply(const DependencyGraph::News& news, TimePoint now) {
+    for (const auto& uid : news.ready)
+        if (auto* job = state_.jobs.find(uid)) make_ready(*job, now);
+    // Before all other records: its users may be told by then.
+    for (const auto& uid : news.doomed)
+        if (auto* job = state_.jobs.find(uid); job && !job->doomed) {
+            spdlog::info("event=job_dependency_failed job={}", uid);
+            job->doomed = true;
+            state_.record_queue.add_first(uid);
+        }
+    for (const auto& uid : news.priority_changed)
+        if (auto* job = state_.jobs.find(uid)) job->priority = state_.dependencies.priority(uid);
+    return !news.ready.empty() || !news.doomed.empty();
+}
+
+// All its times count from now on. The windows of the jobs that it waited for closed long ago: it has been known for at
+// least as long as any window gathers, and must not wait for another.
+void JobLifecycle::make_ready(Job& job, TimePoint now) {
+    const auto& uid = job.spec.uid;
+    job.waits = false;
+    job.arrived = job.eligible_at = now;
+    if (const auto at = state_.dependencies.ready_at(uid)) job.window = window_at(at);
+    spdlog::debug("event=job_dependencies_done job={} class={}", uid, job.spec.job_class);
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/placement_pass.cpp
@@ -0,0 +1,189 @@
+#include "scheduler/placement_pass.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+
+namespace flintdale::scheduler {
+
+using model::JobKind;
+using placement::JobHosts;
+using placement::Planner;
+using State = Task::State;
+
+namespace {
+constexpr unsigned max_reservations = 50;  // gangs that room is reserved for in one pass
+constexpr double array_spot_share = 0.5;   // of its time, for which an array leaves on-demand machines to gangs
+}  // namespace
+
+bool PlacementPass::run(TimePoint now) {
+    state_.record_queue.promote_due(now);
+    finish_reconciliation(now);
+    if (!fleet_.first_round_complete(now)) return false;
+    ++passes_;
+    reservations_ = 0;
+    any_waiting_ = false;
+    auto plan = fleet_.make_planner(now);
+    any_placed_ = relocation_.finish(plan, now);
+    auto waiting = queue_.ordered(now, true);
+    if (state_.awaiting_reconciliation) waiting = without_uncertain(std::move(waiting));
+    on_demand_gangs_wait_ = std::any_of(waiting.begin(), waiting.end(), [](const Job* job) {
+        return job->is(JobKind::gang) && !job->spec.spot && job->passed_over && job->placed == 0 && !job->doubtful();
+    });
+    for (auto* job : waiting) place_job(*job, plan, now);
+    // What is spare no longer can be used in the next pass, which comes in a moment.
+    if (state_.last_shortage == now) spare_.uncordon();
+    return any_placed_;
+}
+
+void PlacementPass::finish_reconciliation(TimePoint now) {
+    if (!state_.awaiting_reconciliation || !fleet_.all_reconciled()) return;
+    spdlog::info("event=reconciliation_complete term={} seconds={:.1f}", state_.term,
+                 Seconds(now - state_.term_began).count());
+    state_.awaiting_reconciliation = false;
+}
+
+// What is uncertain shrinks with every machine that is reconciled: a job none of whose tasks can run on one that is not
+// is as certain as ever. What a team may use is certain only in the end.
+std::vector<Job*> PlacementPass::without_uncertain(std::vector<Job*> jobs) const {
+    std::set<placement::Id> uncertain_pools;
+    bool unknown_pool = false;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        if (fleet_.reconciled(*machine)) continue;
+        // Known from a record only, and not listed: its pool is not known.
+        unknown_pool = unknown_pool || machine->type.empty();
+        uncertain_pools.insert(machine->row.pool);
+    }
+    std::erase_if(jobs, [&](const Job* job) {
+        if (unknown_pool || state_.quota.limited(job->spec.team)) return true;
+        const auto& ask = demand_.ask_of(*job);
+        return std::any_of(uncertain_pools.begin(), uncertain_pools.end(),
+                           [&](placement::Id pool) { return ask.takes(pool); });
+    });
+    return jobs;
+}
+
+void PlacementPass::place_job(Job& job, Planner& plan, TimePoint now) {
+    if (job.is(JobKind::gang))
+        place_gang(job, plan, now);
+    else
+        place_each(job, plan, now);
+    if (job.passed_over) preemption_.preempt(job, plan, now);
+    job.passed_over = job.waiting() > 0;
+    if (!job.passed_over || job.doubtful()) return;
+    state_.last_shortage = now;
+    any_waiting_ = true;
+}
+
+std::uint32_t PlacementPass::take_waiting(Job& job) {
+    while (!job.again.empty()) {
+        const auto i = job.again.front();
+        job.again.pop_front();
+        if (job.tasks[i].state == State::waiting) return i;
+    }
+    while (job.tasks[job.fresh].state != State::waiting) ++job.fresh;
+    return job.fresh++;
+}
+
+void PlacementPass::place_gang(Job& job, Planner& plan, TimePoint now) {
+    const auto& ask = demand_.ask_of(job);
+    if (job.placed > 0) {
+        replace_gang_members(job, plan, now);
+        return;
+    }
+    // Members complete together, but one may have reported that it is done whose fellow was lost with its machine
+    // before it could report. The done member is not placed again; the fellow is, and exits as done. Placing all would
+    // count one task as done and as placed, and the number of waiting tasks would underflow.
+    const auto missing = job.waiting();
+    if (demand_.within_quota(job, missing) < missing) return;
+    auto hosts = demand_.hosts_of(job);
+    const auto places = plan.place_together(ask, hosts, missing);
+    if (places.empty()) {
+        // Room for a whole gang seldom comes about by itself while smaller tasks take all that frees. Each reservation
+        // looks at every machine, so in a long queue of gangs it is made for those whose turn may come.
+        if (!job.doubtful() && reservations_++ < max_reservations) plan.hold_for(ask, missing);
+        return;
+    }
+    ++job.gang_attempt;
+    job.gang_started = job.gang_failing = false;
+    job.again.clear();
+    job.fresh = job.spec.tasks;
+    std::size_t next = 0;
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
+        if (job.tasks[i].state != State::waiting) continue;
+        const auto slot = plan.host(places[next++]).slot;
+        tasks_.place(job, i, *state_.inventory.at(slot), job.gang_attempt, now);
+        tasks_.record_change(job, i, RecordUrgency::immediate, now);
+    }
+    any_placed_ = true;
+}
+
+// Tasks of an attempt that is ending must all be gone before the next one starts. Until an attempt has started, tasks
+// that it lost are replaced under its own number.
+void PlacementPass::replace_gang_members(Job& job, Planner& plan, TimePoint now) {
+    if (job.gang_failing || job.gang_started) return;
+    const auto& ask = demand_.ask_of(job);
+    auto hosts = demand_.hosts_of(job);
+    const auto missing = job.waiting();
+    if (demand_.within_quota(job, missing) < missing) return;
+    for (const auto at : plan.place_many(ask, hosts, missing)) {
+        const auto i = take_waiting(job);
+        tasks_.place(job, i, *state_.inventory.at(plan.host(at).slot), job.gang_attempt, now);
+        tasks_.record_change(job, i, RecordUrgency::immediate, now);
+        any_placed_ = true;
+    }
+}
+
+void PlacementPass::place_each(Job& job, Planner& plan, TimePoint now) {
+    const auto& ask = demand_.ask_of(job);
+    auto hosts = demand_.hosts_of(job);
+    auto most = demand_.within_quota(job, std::min(job.waiting(), max_planned_tasks));
+    if (job.doubtful()) {
+        // A try on another machine tells most, and any machine will do once all have failed it.
+        most = std::min(most, job.placed ? 0u : 1u);
+        if (most > 0 && plan.peek(ask, hosts) == Planner::none) hosts.excluded.clear();
+    }
+    if (now < job.room_made_by) {
+        // Room is being made for the rest of the job: nothing else will do until then.
+        place_with_image(job, hosts, most, plan, now);
+        return;
+    }
+    most -= preemption_.make_room_with_image(job, plan, hosts, most, now);
+    const auto places = leaves_on_demand_machines(job, now) ? plan.place_many(spot_only(ask), hosts, most)
+                                                            : plan.place_many(ask, hosts, most);
+    for (const auto at : places) place_task(job, plan.host(at).slot, now);
+}
+
+void PlacementPass::place_task(Job& job, placement::Id slot, TimePoint now) {
+    const auto i = take_waiting(job);
+    tasks_.place(job, i, *state_.inventory.at(slot), job.tasks[i].attempt + 1, now);
+    tasks_.record_change(job, i, RecordUrgency::immediate, now);
+    any_placed_ = true;
+}
+
+void PlacementPass::place_with_image(Job& job, JobHosts& hosts, std::uint32_t most, Planner& plan, TimePoint now) {
+    const auto& ask = demand_.ask_of(job);
+    for (; most > 0; --most) {
+        const auto at = plan.peek(ask, hosts);
+        if (at == Planner::none || !plan.host(at).has(ask.image) || !plan.place_at(at, ask, hosts, 1)) return;
+        place_task(job, plan.host(at).slot, now);
+    }
+}
+
+placement::Ask PlacementPass::spot_only(const placement::Ask& ask) const {
+    auto out = ask;
+    const auto& pools = state_.inventory.directory().pools();
+    for (std::size_t i = 0; i < out.pools.size(); ++i) out.pools[i] = out.pools[i] && pools[i].spot;
+    return out;
+}
+
+// An array that may use spot machines leaves the others, for half of its time, to gangs that may not and found no room:
+// otherwise room would be requested for those at several times the price, while arrays use the machines that suit them.
+bool PlacementPass::leaves_on_demand_machines(const Job& job, TimePoint now) const {
+    return on_demand_gangs_wait_ && job.spec.spot && job.is(JobKind::array) &&
+           job.priority <= model::Priority::normal &&
+           now - job.arrived < model::to_clock(demand_.target_duration(job.spec) * array_spot_share);
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/preemption.cpp
@@ -0,0 +1,196 @@
+#include "scheduler/preemption.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace flintdale::scheduler {
+
+using namespace std::chrono_literals;
+using model::JobKind;
+using model::Priority;
+using placement::JobHosts;
+using placement::Planner;
+
+namespace {
+constexpr auto preempt_gap = 10s;  // enough for what was stopped to go and for its room to be taken
+constexpr auto room_again = 30s;   // until room for a job's replicas may be made once more
+constexpr int worth_waits = 3;     // times the wait for the victims that an image must take
+constexpr int worth_loss = 2;      // times the loss that the wait for the image must be
+
+void add(quota::Amount& amount, const model::Resources& need) {
+    amount.cpus += need.cpus;
+    amount.gpus += need.gpus;
+}
+}  // namespace
+
+std::vector<std::pair<Seconds, TaskKey>> Preemption::preemptible_on(const Job& job, const Machine& machine,
+                                                                    const std::vector<TaskKey>& already_stopped,
+                                                                    TimePoint now) const {
+    std::vector<std::pair<Seconds, TaskKey>> out;
+    for (const auto& key : machine.tasks) {
+        const auto* other = state_.jobs.find(key.first);
+        if (!other || !other->is(JobKind::array) || !is_preemptible_by(*other, job)) continue;
+        const auto& task = other->tasks[key.second];
+        if (task.draining) continue;
+        if (std::find(already_stopped.begin(), already_stopped.end(), key) != already_stopped.end()) continue;
+        const Seconds ran = task.started ? Seconds(now - task.running_since) : Seconds(0);
+        // What is about to end makes room by itself, sooner than a command reaches it.
+        if (task.started && other->spec.estimated_runtime - ran < state_.settings.heartbeat_interval) continue;
+        const bool saves = other->spec.checkpoint_interval.count() > 0;
+        out.emplace_back(saves ? std::min(other->spec.checkpoint_duration, ran) : ran, key);
+    }
+    std::sort(out.begin(), out.end());
+    return out;
+}
+
+Preemption::Room Preemption::room_on(const Job& job, const Machine& machine, placement::Host& host, const Planner& plan,
+                                     const JobHosts& hosts, const std::vector<TaskKey>& already_stopped,
+                                     TimePoint now) const {
+    const auto& ask = demand_.ask_of(job);
+    Room room{host.image_wait(ask.image, job.spec.image_gb), host.zone, {}};
+    for (const auto& [lost, key] : preemptible_on(job, machine, already_stopped, now)) {
+        if (plan.would_take(host, ask, hosts)) break;
+        placement::give(host.free, state_.jobs.find(key.first)->spec.need);
+        --host.load;
+        room.loss += lost;
+        room.victims.push_back(key);
+    }
+    if (!plan.would_take(host, ask, hosts)) room.victims.clear();
+    return room;
+}
+
+// Whether tasks of arrays of a lower priority than that are placed anywhere.
+bool Preemption::any_lower_arrays(Priority priority) const {
+    for (std::size_t lower = 0; lower < static_cast<std::size_t>(priority); ++lower)
+        if (state_.placed_array_tasks[lower] > 0) return true;
+    return false;
+}
+
+// Within a team by priority. What is within a team's guaranteed share is preempted by no other team, and other teams'
+// work beyond their own share is preempted by it, whatever its priority.
+bool Preemption::is_preemptible_by(const Job& other, const Job& job) const {
+    if (other.spec.team != job.spec.team) {
+        if (demand_.guaranteed(other)) return false;
+        if (demand_.guaranteed(job)) return true;
+    }
+    return other.priority < job.priority;
+}
+
+std::map<std::string, quota::Amount> Preemption::being_stopped() const {
+    std::map<std::string, quota::Amount> out;
+    for (const auto& [name, machine] : state_.inventory.all())
+        for (const auto& [uid, i] : machine->tasks) {
+            const auto* job = state_.jobs.find(uid);
+            if (job && (job->tasks[i].draining || job->cancelled)) add(out[job->spec.team], job->spec.need);
+        }
+    return out;
+}
+
+void Preemption::stop(const Job& job, const std::vector<TaskKey>& victims) {
+    std::map<std::string, quota::Amount> stopping;
+    if (demand_.guaranteed(job)) stopping = being_stopped();
+    for (const auto& [uid, i] : victims) {
+        auto& other = *state_.jobs.find(uid);
+        if (other.spec.team != job.spec.team && other.priority >= job.priority) {
+            auto& amount = stopping[other.spec.team];
+            if (!state_.quota.may_stop(other.spec.team, amount, other.spec.need)) continue;
+            add(amount, other.spec.need);
+        }
+        auto& task = other.tasks[i];
+        spdlog::info("event=task_preempted task={}/{} machine={} for={}", uid, i, task.machine->name, job.spec.uid);
+        task.draining = true;
+    }
+}
+
+// What is stopped can never stop the same job's tasks in turn, so preemption cannot go on in circles. Without it one
+// team's idle tasks, on for minutes, would keep gangs from machines whose accelerators are unused.
+void Preemption::preempt(Job& job, const Planner& plan, TimePoint now) {
+    if (now < job.preempt_again || job.doubtful()) return;
+    if (!any_lower_arrays(job.priority) && !demand_.guaranteed(job)) return;
+    const bool gang = job.is(JobKind::gang);
+    if (gang && (job.gang_failing || job.gang_started)) return;
+    const auto waiting = std::min(job.waiting(), max_planned_tasks);
+    const auto wanted = demand_.within_quota(job, waiting);
+    if (wanted == 0 || (gang && wanted < waiting)) return;
+    job.preempt_again = now + preempt_gap;
+    const auto hosts = demand_.hosts_of(job);
+    auto rooms = rooms_for(job, wanted, plan, hosts, now);
+    if (rooms.empty()) return;
+    std::sort(rooms.begin(), rooms.end());
+    if (gang)
+        keep_rooms_for_gang(job, wanted, plan, hosts, rooms);
+    else if (rooms.size() > wanted)
+        rooms.resize(wanted);
+    for (const auto& room : rooms) stop(job, room.victims);
+}
+
+std::vector<Preemption::Room> Preemption::rooms_for(const Job& job, std::uint32_t wanted, const Planner& plan,
+                                                    const JobHosts& hosts, TimePoint now) const {
+    const auto& ask = demand_.ask_of(job);
+    std::vector<Room> rooms;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        if (machine->tasks.empty() || !fleet_.usable(*machine, now) || !machine->current) continue;
+        if (!ask.takes(machine->row.pool)) continue;
+        // One task of the job more on that machine with every turn, for as long as that costs anything.
+        auto host = machine->row;
+        std::vector<TaskKey> stopped;
+        for (std::uint32_t n = 0; n < wanted; ++n) {
+            auto room = room_on(job, *machine, host, plan, hosts, stopped, now);
+            if (room.victims.empty()) break;
+            stopped.insert(stopped.end(), room.victims.begin(), room.victims.end());
+            placement::take(host.free, job.spec.need);
+            ++host.load;
+            rooms.push_back(std::move(room));
+        }
+    }
+    return rooms;
+}
+
+// What is free already counts, and a gang of one zone takes the zone where least has to be stopped.
+void Preemption::keep_rooms_for_gang(const Job& job, std::uint32_t wanted, const Planner& plan, const JobHosts& hosts,
+                                     std::vector<Room>& rooms) const {
+    const auto& ask = demand_.ask_of(job);
+    std::map<placement::Id, std::uint32_t> per_zone;
+    for (const auto& room : rooms) {
+        const auto there = ++per_zone[job.spec.one_zone ? room.zone : placement::unknown_zone];
+        const auto zone = job.spec.one_zone ? std::optional(room.zone) : std::nullopt;
+        const auto free = static_cast<std::uint32_t>(plan.room_in(ask, hosts, wanted, zone));
+        if (free + there < wanted) continue;
+        const auto lacking = wanted - std::min(free, wanted);
+        if (zone) std::erase_if(rooms, [&](const Room& other) { return other.zone != *zone; });
+        if (rooms.size() > lacking) rooms.resize(lacking);
+        return;
+    }
+    rooms.clear();
+}
+
+// Where there is room now the image may take minutes; to stop a task of an array that saves its progress costs seconds.
+std::uint32_t Preemption::make_room_with_image(Job& job, const Planner& plan, const JobHosts& hosts,
+                                               std::uint32_t tasks, TimePoint now) {
+    if (job.priority != Priority::critical || !job.is(JobKind::service) || tasks == 0) return 0;
+    const auto& ask = demand_.ask_of(job);
+    const auto at = plan.peek(ask, hosts);
+    if (at == Planner::none) return 0;
+    const auto wait = plan.host(at).image_wait(ask.image, job.spec.image_gb);
+    const Seconds until_free = state_.settings.heartbeat_interval * 1.25 + Seconds(3);
+    if (wait < until_free * worth_waits) return 0;
+    // Room that was made and is not enough is not made again at once; replicas lost later have their own turn.
+    if (job.room_made_by != TimePoint{} && now < job.room_made_by + room_again) return 0;
+    std::vector<Room> rooms;
+    for (const auto& [name, machine] : state_.inventory.all()) {
+        if (!machine->row.has(ask.image) || !fleet_.usable(*machine, now) || !machine->current) continue;
+        if (!ask.takes(machine->row.pool)) continue;
+        auto host = machine->row;
+        auto room = room_on(job, *machine, host, plan, hosts, {}, now);
+        if (!room.victims.empty() && (room.loss + until_free) * worth_loss < wait) rooms.push_back(std::move(room));
+    }
+    if (rooms.empty()) return 0;
+    std::sort(rooms.begin(), rooms.end());
+    if (rooms.size() > tasks) rooms.resize(tasks);
+    for (const auto& room : rooms) stop(job, room.victims);
+    job.room_made_by = after(now, until_free);
+    return static_cast<std::uint32_t>(rooms.size());
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/record_loader.cpp
@@ -0,0 +1,221 @@
+#include "scheduler/record_loader.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace flintdale::scheduler {
+
+using namespace std::chrono_literals;
+
+namespace {
+constexpr std::size_t max_fragmented = 1000;  // submissions of which fragments are awaited
+constexpr std::chrono::milliseconds longest_wait = std::chrono::hours(24);  // that another clock is believed
+
+bool is_over(DependencyGraph::Fate fate) {
+    return fate == DependencyGraph::Fate::done || fate == DependencyGraph::Fate::cancelled;
+}
+}  // namespace
+
+void RecordLoader::load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t at) {
+    std::map<std::string, Records> found;
+    for (const auto& item : work)
+        if (auto key = parse_work_key(item.key)) found[key->uid].emplace_back(std::move(*key), &item);
+    for (auto& [uid, records] : found) {
+        if (state_.jobs.contains(uid)) continue;
+        try {
+            load_job(uid, records, now, at);
+        } catch (const std::exception& e) {
+            spdlog::error("event=record_unreadable job={} why=\"{}\"", uid, e.what());
+            // Where its tasks are is not known, so none of them may be started.
+            if (const auto* job = state_.jobs.find(uid)) state_.quota.over(job->spec);
+            state_.jobs.erase(uid);
+        }
+    }
+}
+
+void RecordLoader::load_job(const std::string& uid, Records& records, TimePoint now, std::int64_t at) {
+    const auto is_first = [](const auto& record) { return record.first.first(); };
+    if (std::none_of(records.begin(), records.end(), is_first)) {
+        load_without_first(records, now);
+        return;
+    }
+    for (const auto& [key, item] : records) assemble(key, *item, now, true);
+    auto* job = state_.jobs.find(uid);
+    if (!job) return;
+    // Its wait did not begin with this leader: age, deadline and what is due after half of the target time go by it. A
+    // job that waited for others counts from when they were done, and is not older than this leader knows.
+    if (const auto accepted = job->spec.accepted_ms; at > accepted && accepted > 0 && job->spec.dependencies.empty())
+        job->arrived = now - std::min(std::chrono::milliseconds(at - accepted), longest_wait);
+    restore_tasks(*job, read_tasks(*job, records), now);
+    if (job->done == job->spec.tasks) state_.record_queue.add(uid);
+    // The leader that placed some of it had read that all the jobs it needs are done.
+    const bool was_ready = job->fresh > 0;
+    lifecycle_.set_dependencies(*job, was_ready ? std::vector<std::string>{} : job->spec.dependencies, now);
+}
+
+// The job is over, and its last leader ended before it had removed every record. A fragment without the first record
+// may be of a job that was accepted while the records were being read.
+void RecordLoader::load_without_first(const Records& records, TimePoint now) {
+    for (const auto& [key, item] : records)
+        if (key.piece)
+            assemble(key, *item, now, true);
+        else
+            state_.garbage.add(item->key, item->mod_revision);
+}
+
+std::vector<model::TaskRange> RecordLoader::read_tasks(Job& job, Records& records) {
+    // Of two records with the same task the one with fewer tasks counts; it was written later.
+    std::sort(records.begin(), records.end(), [](const auto& a, const auto& b) { return a.first.page > b.first.page; });
+    std::vector<model::TaskRange> last(job.spec.tasks);
+    for (const auto& [key, item] : records) {
+        if (key.piece || key.page > job.page) continue;  // the first record of a fragmented submission has no tasks
+        if (key.page < job.page) job.use_pages(key.page);
+        if (key.chunk >= job.chunks.size()) continue;
+        job.chunks[key.chunk].mod_revision = item->mod_revision;
+        for (const auto& range : wire::ranges_from_record(item->value.as_object().at("tasks").as_array()))
+            for (auto i = range.from; i <= range.to && i < job.spec.tasks; ++i) last[i] = range;
+    }
+    return last;
+}
+
+void RecordLoader::restore_tasks(Job& job, const std::vector<model::TaskRange>& last, TimePoint now) {
+    job.fresh = 0;
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
+        restore_task(job, i, last[i], now);
+        const auto& task = job.tasks[i];
+        // Attempts never fall, so a task with an attempt was placed once.
+        if (task.state != Task::State::waiting || task.attempt) job.fresh = i + 1;
+        job.gang_attempt = std::max(job.gang_attempt, task.attempt);
+    }
+    for (std::uint32_t i = 0; i < job.fresh; ++i)
+        if (job.tasks[i].state == Task::State::waiting) job.again.push_back(i);
+}
+
+void RecordLoader::restore_task(Job& job, std::uint32_t task, const model::TaskRange& last, TimePoint now) {
+    auto& t = job.tasks[task];
+    t.attempt = last.attempt;
+    if (last.done) {
+        t.state = Task::State::done;
+        ++job.done;
+    } else if (!last.machine.empty()) {
+        auto& machine = state_.inventory.add(last.machine, "", "", false, now);
+        tasks_.place(job, task, machine, last.attempt, now);
+        state_.inherited_tasks = true;
+        t.sent = true;  // the leader that wrote the record may have sent the run command
+    }
+}
+
+bool RecordLoader::is_behind(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const {
+    const auto key = parse_work_key(item.key);
+    const auto* tasks = key && item.value.is_object() ? item.value.get_object().if_contains("tasks") : nullptr;
+    // Our own writes are seen here as well, those of jobs that are over and forgotten included.
+    if (!tasks || !tasks->is_array() || tasks->get_array().empty() || over(key->uid)) return false;
+    const auto* known = state_.jobs.find(key->uid);
+    if (!known) return true;
+    if (known->finished || known->cancelled) return false;
+    try {
+        for (const auto& range : wire::ranges_from_record(tasks->get_array()))
+            for (auto i = range.from; i <= range.to && i < known->spec.tasks; ++i)
+                if (range.attempt > known->tasks[i].attempt) return true;
+    } catch (const std::exception&) {
+        return false;
+    }
+    return false;
+}
+
+RecordLoader::FragmentedSubmission* RecordLoader::add_fragment(const WorkKey& key, const state::KeyValue& item) {
+    if (is_over(state_.dependencies.fate(key.uid))) return nullptr;
+    if (fragmented_.size() >= max_fragmented) fragmented_.clear();
+    auto& known = fragmented_[key.uid];
+    if (!key.piece) {
+        known.first = item;
+        return &known;
+    }
+    const auto& text = item.value.as_object().at("text").as_string();
+    if (known.fragments.emplace(key.piece, std::string(text)).second)
+        known.records.push_back({item.key, item.mod_revision});
+    return &known;
+}
+
+Job* RecordLoader::assemble(const WorkKey& key, const state::KeyValue& item, TimePoint now, bool recovering) {
+    const auto& record = item.value.as_object();
+    if (state_.jobs.contains(key.uid) || (!key.first() && !key.piece)) return nullptr;
+    FragmentedSubmission submission;
+    if (key.piece || record.if_contains("cut")) {
+        const auto* known = add_fragment(key, item);
+        if (!known || !known->first.mod_revision) return nullptr;
+        submission = *known;
+    } else {
+        submission.first = item;
+    }
+    const auto& first = submission.first.value.as_object();
+    // Our own writes are seen here as well, late ones of jobs that are over and forgotten included: only a record
+    // without any task is that of a job just accepted.
+    if (!recovering && !first.at("tasks").as_array().empty()) return nullptr;
+    auto spec = spec_from_records(first, submission.fragments);
+    if (!spec) return nullptr;
+    auto& job = lifecycle_.create(std::move(*spec), now, recovering);
+    job.chunks[0].mod_revision = submission.first.mod_revision;
+    job.overruled = std::move(submission.records);
+    // The first record holds no submission that could be written again beside its tasks.
+    if (first.if_contains("cut")) job.use_pages(job.page / 2);
+    fragmented_.erase(key.uid);
+    state_.jobs.mark_count_changed(key.uid);
+    return &job;
+}
+
+bool RecordLoader::job_changed(const state::KeyValue& item, TimePoint now, std::int64_t wall) {
+    if (!item.mod_revision || !item.value.is_object()) return false;
+    try {
+        if (!item.key.starts_with(work_prefix)) return outcome_read(item, now, wall);
+        const auto key = parse_work_key(item.key);
+        auto* job = key ? assemble(*key, item, now, false) : nullptr;
+        if (job) lifecycle_.set_dependencies(*job, job->spec.dependencies, now);
+        return job != nullptr;
+    } catch (const std::exception& e) {
+        spdlog::error("event=record_unreadable key={} why=\"{}\"", item.key, e.what());
+    }
+    return false;
+}
+
+// Returns whether the outcome changes anything.
+bool RecordLoader::outcome_read(const state::KeyValue& item, TimePoint now, std::int64_t wall) {
+    const auto& record = item.value.get_object();
+    const auto outcome = wire::job_state_from(std::string_view(record.at("state").as_string()));
+    const auto uid = item.key.substr(item.key.rfind('/') + 1);
+    const auto* at = record.if_contains("at");
+    const auto ended_at = at ? at->to_number<std::int64_t>() : 0;
+    bool changed = lifecycle_.apply(state_.dependencies.over(uid, outcome == model::JobState::done, ended_at), now);
+    auto* job = state_.jobs.find(uid);
+    if (!job || job->finished) return changed;
+    if (outcome == model::JobState::cancelled) {
+        changed = changed || !job->cancelled;
+        // A watch that stayed open through a refusal or an outage reports it late, and the cancel deadline has run
+        // since.
+        const auto since = at ? std::chrono::milliseconds(wall - ended_at) : 0ms;
+        lifecycle_.cancel(*job, now - std::clamp<std::chrono::milliseconds>(since, 0ms, longest_wait));
+        return changed;
+    }
+    if (job->cancelled) return changed;
+    lifecycle_.finish(*job);
+    state_.record_queue.add(uid);
+    return true;
+}
+
+std::vector<std::string> RecordLoader::keys_to_read() const {
+    std::vector<std::string> out;
+    for (const auto& uid : state_.dependencies.unknown()) out.push_back(outcome_key(uid));
+    for (const auto& [uid, submission] : fragmented_) {
+        if (!submission.first.mod_revision) {
+            out.push_back(work_key(uid, 0));
+            continue;
+        }
+        const auto count = submission.first.value.as_object().at("cut").to_number<std::uint32_t>();
+        for (std::uint32_t n = 1; n <= count; ++n)
+            if (!submission.fragments.contains(n)) out.push_back(piece_key(uid, n));
+    }
+    return out;
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/record_writer.cpp
@@ -0,0 +1,176 @@
+#include "scheduler/record_writer.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "election/elector.hpp"
+
+namespace flintdale::scheduler {
+
+namespace {
+constexpr std::size_t max_txn_bytes = 44 * 1024;
+constexpr std::size_t outcome_bytes = 1024;  // estimates, for the limit above
+constexpr std::size_t work_bytes = 600, range_bytes = 32;
+constexpr std::chrono::seconds retry_rejected{10};  // after which a rejected record is tried again
+}  // namespace
+
+bool RecordWriter::Draft::full() const { return batch.txn.changes.size() >= most || bytes >= max_txn_bytes; }
+
+Batch RecordWriter::next_batch(std::size_t most, std::int64_t at) {
+    Draft draft;
+    draft.most = std::clamp<std::size_t>(most, 2, state_.record_format.limits().txn_ops);
+    if (single_batches_ > 0) {
+        --single_batches_;
+        draft.most = 1;
+    }
+    draft.batch.txn.conditions.push_back({election::term_key, state_.term_revision});
+    auto left = state_.record_queue.size();
+    for (; left > 0 && !draft.full(); --left) add_job(state_.record_queue.pop(), at, draft);
+    return std::move(draft.batch);
+}
+
+void RecordWriter::add_job(const std::string& uid, std::int64_t at, Draft& draft) {
+    auto* job = state_.jobs.find(uid);
+    if (!job) return;
+    const bool complete = job->done == job->spec.tasks && !job->cancelled && !job->finished;
+    const bool over = job->finished || (job->cancelled && job->placed == 0);
+    if (over)
+        forget(uid);
+    else if (job->doomed && !job->cancelled)
+        add_outcome(*job, model::JobState::cancelled, at, draft);
+    else if (complete)
+        add_outcome(*job, model::JobState::done, at, draft);
+    else if (!job->cancelled && !add_changed_records(*job, draft))
+        state_.record_queue.add(uid);
+}
+
+// The first outcome to be committed decides between done and cancelled: both require that there is no outcome.
+void RecordWriter::add_outcome(const Job& job, model::JobState outcome, std::int64_t at, Draft& draft) const {
+    const auto& uid = job.spec.uid;
+    const auto key = outcome_key(uid);
+    const auto spec = wire::spec_to_record(job.spec);
+    auto record = outcome_record(state_.record_format, outcome, at, &spec, {job.spec.kind, job.spec.tasks});
+    const auto kind = outcome == model::JobState::done ? Batch::Part::Kind::finish : Batch::Part::Kind::abort;
+    draft.batch.txn.conditions.push_back({key, 0});
+    draft.batch.txn.changes.push_back({key, std::move(record), 0});
+    draft.batch.parts.push_back({uid, 0, job.generation, kind, at});
+    draft.batch.keys.push_back(key);
+    draft.bytes += outcome_bytes;
+}
+
+bool RecordWriter::add_changed_records(Job& job, Draft& draft) {
+    const auto& uid = job.spec.uid;
+    auto& batch = draft.batch;
+    const auto outcome = outcome_key(uid);
+    for (auto& [index, record] : changed_records(job)) {
+        const auto& chunk = job.chunks[index];
+        if (draft.full()) return false;
+        draft.bytes += work_bytes + record["tasks"].as_array().size() * range_bytes;
+        // No placement may be added once the job was cancelled.
+        if (batch.keys.empty() || batch.keys.back() != outcome) {
+            batch.txn.conditions.push_back({outcome, 0});
+            batch.keys.push_back(outcome);
+        }
+        const auto key = work_key(uid, index, job.page);
+        batch.txn.conditions.push_back({key, chunk.mod_revision});
+        batch.txn.changes.push_back({key, std::move(record), 0});
+        batch.parts.push_back({uid, index, chunk.changed, Batch::Part::Kind::write, 0});
+        batch.keys.insert(batch.keys.end() - 1, key);
+    }
+    return true;
+}
+
+std::vector<RecordWriter::ChangedRecord> RecordWriter::changed_records(Job& job) {
+    std::vector<ChangedRecord> out;
+    for (std::uint32_t i = 0; i < job.chunks.size(); ++i) {
+        if (job.chunks[i].durable >= job.chunks[i].changed) continue;
+        auto record = work_record(job, i);
+        if (state_.record_format.newest() && job.page > 1 && !state_.record_format.fits(record)) {
+            job.use_pages(job.page / 2);
+            spdlog::debug("event=records_split job={} tasks={}", job.spec.uid, job.page);
+            return changed_records(job);
+        }
+        out.push_back({i, std::move(record)});
+    }
+    return out;
+}
+
+// The job is over and none of its tasks is anywhere. Workers that still show one are told to clear it. Its records may
+// stay for a while: whoever reads them looks for an outcome as well.
+void RecordWriter::forget(const std::string& uid) {
+    auto& job = *state_.jobs.find(uid);
+    job.use_pages(job.page);
+    // Garbage is removed last in, first out, and the first record must go last: as long as it is there, the others are
+    // known to belong to a job.
+    std::stable_partition(job.overruled.begin(), job.overruled.end(),
+                          [&](const OldRecord& record) { return record.key == work_key(uid, 0); });
+    for (const auto& record : job.overruled) state_.garbage.add(record.key, record.mod_revision);
+    state_.jobs.erase(uid);
+}
+
+state::Txn RecordWriter::take_garbage(std::size_t most) {
+    auto txn = state_.garbage.take(std::min(most, state_.record_format.limits().txn_ops));
+    if (!txn.changes.empty()) txn.conditions.push_back({election::term_key, state_.term_revision});
+    return txn;
+}
+
+bool RecordWriter::committed(const Batch& batch, std::uint64_t revision, TimePoint now) {
+    bool ready = false;
+    for (const auto& part : batch.parts) {
+        auto* job = state_.jobs.find(part.uid);
+        if (!job) continue;
+        switch (part.kind) {
+            case Batch::Part::Kind::write:
+                job->chunks[part.chunk].mod_revision = revision;
+                job->chunks[part.chunk].durable = std::max(job->chunks[part.chunk].durable, part.generation);
+                break;
+            case Batch::Part::Kind::finish:
+                spdlog::info("event=job_done job={} class={} seconds={:.1f}", part.uid, job->spec.job_class,
+                             Seconds(now - job->arrived).count());
+                lifecycle_.finish(*job);
+                ready = lifecycle_.apply(state_.dependencies.over(part.uid, true, part.at), now) || ready;
+                break;
+            case Batch::Part::Kind::abort:
+                lifecycle_.cancel(*job, now);
+                lifecycle_.apply(state_.dependencies.over(part.uid, false, part.at), now);
+                break;
+        }
+        if (job->finished || job->cancelled) state_.record_queue.add(part.uid);
+    }
+    return ready;
+}
+
+// One record that is never taken must not stop all others: each is tried alone, and the one at fault is split, or left
+// for a while.
+void RecordWriter::rejected(const Batch& batch, TimePoint now) {
+    if (batch.parts.size() > 1) {
+        single_batches_ = batch.parts.size();
+        for (auto part = batch.parts.rbegin(); part != batch.parts.rend(); ++part)
+            state_.record_queue.add_first(part->uid);
+        return;
+    }
+    for (const auto& part : batch.parts) {
+        auto* job = state_.jobs.find(part.uid);
+        if (!job) continue;
+        if (part.kind == Batch::Part::Kind::write && job->page > 1 && state_.record_format.newest()) {
+            job->use_pages(job->page / 2);
+            state_.record_queue.add(part.uid);
+            continue;
+        }
+        spdlog::error("event=record_rejected job={} chunk={}", part.uid, part.chunk);
+        state_.record_queue.add_later(part.uid, now + retry_rejected);
+    }
+}
+
+void RecordWriter::failed(const Batch& batch) {
+    for (const auto& part : batch.parts) state_.record_queue.add(part.uid);
+}
+
+void RecordWriter::record_reread(const WorkKey& key, const state::KeyValue& item) {
+    auto* job = state_.jobs.find(key.uid);
+    if (job && !key.piece && key.page == job->page && key.chunk < job->chunks.size())
+        job->chunks[key.chunk].mod_revision = item.mod_revision;
+}
+
+}  // namespace flintdale::scheduler
--- /dev/null
+++ b/src/scheduler/relocation.hpp
@@ -0,0 +1,44 @@
+// Tasks that move from one machine to another: the task is drained where it is, and its room at the destination is
+// reserved in every plan until it can be placed there.
+#pragma once
+#include <string>
+#include <vector>
+
+#include "scheduler/job_demand.hpp"
+#include "scheduler/task_transitions.hpp"
+
+namespace flintdale::scheduler {
+
+class Relocation {
+  public:
+    Relocation(SchedulerState& state, TaskTransitions& tasks, JobDemand& demand)
+        : state_(state), tasks_(tasks), demand_(demand) {}
+
+    // Starts to move the task to the machine of that slot.
+    void start(const Job& job, std::uint32_t task, placement::Id to, TimePoint now);
+    // Places the moved tasks that are gone from where they were, and reserves the room of the others. True if any was
+    // placed.
+    bool finish(placement::Planner& plan, TimePoint now);
+    // Moves tasks that wait for their image to machines that have it by now.
+    void move_fetching(placement::Planner& plan, TimePoint now);
+    bool any() const { return !moves_.empty(); }
+
+  private:
+    struct Move {
+        std::string uid;
+        placement::Id to = 0;  // slot of the destination
+        std::uint32_t task = 0;
+        TimePoint until{};  // when it is given up
+    };
+    enum class Progress : std::uint8_t { pending, placed, given_up };
+    Progress advance(const Move& move, placement::Planner& plan, TimePoint now);
+    // Moves the task if it waits for its image and another machine has it.
+    void move_if_faster(const Job& job, std::uint32_t task, placement::Planner& plan, TimePoint now);
+
+    SchedulerState& state_;
+    TaskTransitions& tasks_;
+    JobDemand& demand_;
+    std::vector<Move> moves_;
+};
+
+}  // namespace flintdale::scheduler
