--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,15 +1,24 @@
-// Wires the packages into one controller. What it is connected to comes from outside: the network (Node), or an
-// emulated world.
+// Builds one controller from the packages and wires them together. What it is connected to comes from outside: the
+// network (Node), or a simulation. It decides nothing itself.
 #pragma once
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
 #include "api/submission_service.hpp"
+#include "app/cancellation_register.hpp"
+#include "app/cluster_view.hpp"
 #include "app/fencer.hpp"
 #include "app/heartbeat_service.hpp"
+#include "app/http_routes.hpp"
+#include "app/job_information.hpp"
 #include "app/leader_term.hpp"
+#include "app/leader_term_adapters.hpp"
+#include "app/machine_type_catalog.hpp"
+#include "app/peer_table.hpp"
 #include "cloud/client.hpp"
 #include "election/members.hpp"
-#include "model/clock.hpp"
-#include "model/heartbeat.hpp"
-#include "model/machine.hpp"
 #include "peer/incarnations.hpp"
 #include "peer/peer_connections.hpp"
 #include "recovery/recovery_coordinator.hpp"
@@ -17,10 +26,12 @@
 
 namespace flintdale::app {
 
+// What a controller is connected to.
 struct Ports {
     state::Service& state;
     cloud::Cloud& cloud;
     worker::Workers& workers;
+    // To every other controller that can be reached now.
     std::function<void(const peer::StatusMessage&)> broadcast_status;
     std::function<std::int64_t()> time_of_day_ms;
     // False if it cannot be sent to that controller now.
@@ -31,70 +42,72 @@
   public:
     Controller(net::Executor ex, const config::Settings& settings, const config::OperatorSettings& operator_settings,
                state::RecordFormat& record_format, Ports ports);
+    // Starts all loops. Call it once.
     void start();
 
-    awaitable<net::Reply> handle(net::Request request);
+    // A request over HTTP, from a user, a worker or the load balancer.
+    awaitable<net::Reply> handle(net::Request request) { return routes_.handle(std::move(request)); }
+    // Messages of another controller, and the loss of the connection to one.
     void received(const peer::StatusMessage& status);
-    void relayed(const peer::RelayMessage& message) { reports_.relay_message_received(message); }
-    // The link to that controller has broken.
-    void link_lost(const std::string& member) { reports_.link_lost(member); }
+    void relayed(const peer::RelayMessage& message) { heartbeats_.relay_message_received(message); }
+    void link_lost(const std::string& member) { heartbeats_.link_lost(member); }
 
     bool leading() const { return elector_.leading(); }
     const recovery::RecoveryCoordinator& recovery() const { return recovery_; }
     const Fencer& fencer() const { return fencer_; }
 
   private:
-    void note_report(const model::Heartbeat& report);
+    state::GuardedStore::Events store_events();
+    election::Elector::Events elector_events();
+    Fencer::Callbacks fencer_callbacks();
     HeartbeatService::Callbacks heartbeat_callbacks();
-    awaitable<void> catalog_loop();
-    awaitable<void> peer_loop();
     recovery::RecoveryCoordinator::Callbacks recovery_callbacks();
-    void note_cancelled(const std::string& uid);
-    bool somebody_knows(model::TimePoint noted) const;
-    bool cut_off_from_store() const;
-    std::optional<model::Seconds> over_for(const std::string& uid) const;
-    model::TimePoint cancellations_known_until(model::TimePoint looked) const;
-    void begin_term(election::Term term, bool unsettled);
+    api::SubmissionService::Callbacks submission_callbacks();
+    MachineTypeCatalog::Callbacks catalog_callbacks();
+    ClusterView::Sources cluster_sources();
+
+    void term_won(election::Term term);
+    void begin_term(election::Term term, bool unrecorded_tasks);
     void end_term();
-    bool leaderless() const;
-    awaitable<void> keep_catalog();
-    awaitable<void> recall_catalog();
-    void share_writes(double own);
+    void outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
+                       recovery::RecoveryCoordinator::Callbacks::Look look);
+    void records_rebuilt();
+    void quota_changed(const quota::Table& table);
+    void cancellation_learned(const std::string& uid);
+    void job_record_changed(const state::KeyValue& record);
+    void heartbeat_received(const model::Heartbeat& heartbeat);
+
+    awaitable<void> status_loop();
+    peer::StatusMessage current_status();
     void resign_if_cut_off_from_workers();
-    net::Reply ready() const;
+    net::Reply readiness() const;
 
     net::Executor ex_;
     const config::Settings& settings_;
     const config::OperatorSettings& operator_settings_;
     state::RecordFormat& record_format_;
     Ports ports_;
-    std::uint64_t incarnation_;  // what tells this incarnation of the controller from the one before, which may have
-                                 // ended just now
+    std::uint64_t incarnation_;        // differs from that of an earlier process, even of one that has just ended
     peer::Incarnations incarnations_;  // of the others
+    PeerTable peers_;
+    OwnLeadership leadership_;
+    std::optional<quota::Table> quota_table_;  // where it differs from the settings
     state::GuardedStore store_;
-    cloud::Cloud& cloud_;
     election::Elector elector_;
     election::Members members_;
     scheduler::FollowerLeases follower_leases_;
     peer::Cancellations cancellations_;
+    ClusterView cluster_;
     Fencer fencer_;
-    HeartbeatService reports_;
+    HeartbeatService heartbeats_;
     recovery::RecoveryCoordinator recovery_;
-    std::shared_ptr<LeaderTerm> leader_term_;
-    std::optional<quota::Table> teams_;  // figures of teams, where they differ from the settings
-    election::Term term_;                // the last that was won
-    std::vector<model::MachineType> types_;
-    bool kept_catalog_ = false;  // the machine types are on record, as far as is known
-    std::unordered_map<std::string, api::DisplayCount> counts_;
-    struct PeerState {
-        model::TimePoint heard{};
-        bool state_ok = false, leading = false;
-        double writes = 0;
-        double redirects = 0;  // of the last seconds, older ones counting less
-        bool knows_records = false;
-    };
-    std::unordered_map<std::string, PeerState> peer_state_;
+    CancellationRegister cancellation_register_;
+    ElectorClaim leadership_claim_;
+    ReplicatedRecords remembered_records_;
+    JobInformation job_information_;
+    MachineTypeCatalog catalog_;
     api::SubmissionService submissions_;
+    HttpRoutes routes_;
 };
 
 }  // namespace flintdale::app
--- /dev/null
+++ b/src/app/handover_hints_loop.hpp
@@ -0,0 +1,23 @@
+// Reads what the previous leader noted of the machines, beside the failover itself, and then keeps such notes on record
+// for the next leader.
+#pragma once
+#include "app/term_context.hpp"
+#include "scheduler/handover_hints.hpp"
+
+namespace flintdale::app {
+
+class HandoverHintsLoop {
+  public:
+    explicit HandoverHintsLoop(TermContext& context) : context_(context), hints_(context.record_format) {}
+    // Runs until the term ends.
+    awaitable<void> run();
+
+  private:
+    // Writes the pages that have changed; stops at the first that cannot be written.
+    awaitable<void> write_changed_pages();
+
+    TermContext& context_;
+    scheduler::HandoverHints hints_;
+};
+
+}  // namespace flintdale::app
--- a/src/app/heartbeat_service.hpp
+++ b/src/app/heartbeat_service.hpp
@@ -1,9 +1,14 @@
-// Workers' reports: answered by the leader, directly or through the controllers that relay; sent on to the leader by
-// the others; and where nobody leads, leases that are kept alive.
+// Answers workers' heartbeats. The leader answers them, directly or through the controllers that relay; the others
+// relay them to the leader or redirect the worker; and where no controller leads, leases are kept alive.
 #pragma once
+#include <functional>
+#include <map>
+#include <memory>
+
+#include "app/cluster_view.hpp"
 #include "app/leader_term.hpp"
+#include "app/peer_table.hpp"
 #include "app/worker_assignment.hpp"
-#include "model/clock.hpp"
 #include "model/command.hpp"
 #include "model/heartbeat.hpp"
 #include "net/http_server.hpp"
@@ -17,73 +22,73 @@
 class HeartbeatService {
   public:
     struct Callbacks {
-        std::function<void(const model::Heartbeat&)> noticed;  // of each report that arrives here or is relayed here
-        std::function<bool()> leading;                         // by the claim, whether or not its term has begun
-        std::function<bool()> rebuilding;                      // the records; no term begins meanwhile
-        std::function<std::shared_ptr<LeaderTerm>()> leader_term;  // null: none has begun
-        std::function<std::uint64_t()> own_term;                   // the last that was won
-        std::function<std::uint64_t()> newest_term;                // the highest that was heard of
-        std::function<std::string()> leader;                       // who is believed to lead; empty: nobody
-        std::function<bool()> leaderless;  // no leader is heard, and none could be elected from here
-        std::function<bool()> state_healthy;
-        std::function<model::TimePoint()> cancellations_known_until;  // for follower_leases
-        std::function<void(const model::Heartbeat&)> shown;           // while the records are rebuilt
-        std::function<bool(const std::string& member, const peer::RelayMessage&)> send;
+        // Each heartbeat that arrives here, directly or relayed.
+        std::function<void(const model::Heartbeat&)> received;
+        // Each heartbeat that a leader receives while the records are rebuilt.
+        std::function<void(const model::Heartbeat&)> received_in_recovery;
+        // Until when all cancellations are known here, beyond what `follower_leases` has read.
+        std::function<model::TimePoint()> cancellations_known_until;
+        // False if the message cannot be sent to that controller now.
+        peer::HeartbeatRelay::Send send;
     };
+    // `incarnation`: of this controller.
     HeartbeatService(net::Executor ex, const config::Settings& settings,
-                     const config::OperatorSettings& operator_settings, scheduler::FollowerLeases& follower_leases,
-                     std::uint64_t incarnation, Callbacks callbacks);
+                     const config::OperatorSettings& operator_settings, const ClusterView& cluster,
+                     const PeerTable& peers, scheduler::FollowerLeases& follower_leases, std::uint64_t incarnation,
+                     Callbacks callbacks);
 
     // POST /agent/beat
     awaitable<net::Reply> handle(std::string body);
-    // From another controller.
+
+    // A peer's status, which is in the table of peers already.
     void peer_status_received(const peer::StatusMessage& status);
     void relay_message_received(const peer::RelayMessage& message);
+    // The connection to that controller has broken.
     void link_lost(const std::string& member) { relay_.link_lost(member); }
-    // What this controller says of itself.
+    // Fills in what this controller says of heartbeats and workers in its own status.
     void fill_status(peer::StatusMessage& status);
     // A term of this controller has begun or ended.
-    void term_changed() { relayed_.clear(); }
+    void term_changed() { relayed_heartbeats_.clear(); }
 
   private:
-    // What a controller that leads says to a report. `leads`: it turned out to do so.
-    struct Answer {
-        bool leads = true;
+    using Commands = LeaderTerm::Commands;
+    // What a controller that leads answers to a heartbeat.
+    struct LeaderAnswer {
+        bool leads = true;  // false: it turned out not to lead
         std::uint64_t fencing_token = 0;
-        LeaderTerm::Commands commands;  // nothing: not entitled to answer
+        Commands commands;  // nothing: it must not answer now
     };
-    awaitable<Answer> answer_as_leader(model::Heartbeat report);
-    awaitable<net::Reply> answer_as_follower(model::Heartbeat report);
-    std::optional<std::vector<model::Command>> keep_lease(const model::Heartbeat& report);
-    std::string other_leader() const;
-    net::Reply send_on(const std::string& member);
+    awaitable<LeaderAnswer> answer_as_leader(model::Heartbeat heartbeat);
+    awaitable<void> await_begin_of_term();
+    awaitable<net::Reply> answer_as_follower(model::Heartbeat heartbeat);
+    // Renews a lease without a leader's term.
+    Commands renew_lease_without_term(const model::Heartbeat& heartbeat);
+    Commands renew_lease_while_leaderless(const model::Heartbeat& heartbeat);
+    net::Reply redirect_to_leader(const std::string& member);
     bool relays_to(const std::string& leader) const;
+
     void answer_relayed(const std::string& member, std::uint64_t incarnation, std::uint64_t number,
-                        const model::Heartbeat& report);
-    awaitable<void> answer_later(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
-                                 model::Heartbeat report);
-    awaitable<void> answer_with_runs(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
-                                     std::shared_ptr<LeaderTerm> term, model::Heartbeat report,
-                                     LeaderTerm::Decision decision);
+                        const model::Heartbeat& heartbeat);
+    awaitable<void> answer_relayed_later(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
+                                         model::Heartbeat heartbeat);
+    awaitable<void> answer_relayed_with_runs(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
+                                             std::shared_ptr<LeaderTerm> term, model::Heartbeat heartbeat,
+                                             LeaderTerm::Decision decision);
     std::shared_ptr<peer::RelayOutbox> outbox_to(const std::string& member, std::uint64_t incarnation);
 
-    struct Heard {
-        model::TimePoint at{};
-        std::uint64_t incarnation = 0, term = 0;
-        bool relays = false, leading = false;
-    };
     net::Executor ex_;
     const config::Settings& settings_;
     const config::OperatorSettings& operator_settings_;
+    const ClusterView& cluster_;
+    const PeerTable& peers_;
     scheduler::FollowerLeases& follower_leases_;
     std::uint64_t incarnation_;
     Callbacks callbacks_;
     WorkerAssignment assignment_;
     peer::HeartbeatRelay relay_;
-    peer::RelayedHeartbeatCache relayed_;
+    peer::RelayedHeartbeatCache relayed_heartbeats_;
     std::map<std::string, std::shared_ptr<peer::RelayOutbox>> outboxes_;  // for answers, by member
-    std::map<std::string, Heard> heard_;
-    std::uint32_t redirects_ = 0;  // reports sent on to the leader since this was last told
+    std::uint32_t redirects_ = 0;  // workers redirected to the leader since the last status
 };
 
 }  // namespace flintdale::app
--- /dev/null
+++ b/src/app/leader_term_adapters.cpp
@@ -0,0 +1,9 @@
+#include "app/leader_term_adapters.hpp"
+
+namespace flintdale::app {
+
+void ReplicatedRecords::suspect_loss(const char* why) {
+    recovery_.suspect_loss(why, recovery::RecoveryCoordinator::Loss::beyond_memory);
+}
+
+}  // namespace flintdale::app
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -1,12 +1,24 @@
 #include "app/node.hpp"
 
+#include <algorithm>
+
 namespace flintdale::app {
 
 namespace {
+
+// Sockets for the controller's own connections: a share of the limit, and at most so many.
+constexpr std::size_t own_sockets_divisor = 4;
+constexpr std::size_t max_own_sockets = 64;
+
 std::int64_t time_of_day_ms() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
+
+std::size_t server_sockets(const config::Settings& settings) {
+    return settings.max_sockets - std::min<std::size_t>(settings.max_sockets / own_sockets_divisor, max_own_sockets);
+}
+
 }  // namespace
 
 Node::Node(net::asio::io_context& io, config::Settings settings, config::OperatorSettings operator_settings)
@@ -17,21 +29,28 @@
       store_(ex_, settings_, record_format_),
       cloud_(ex_, settings_),
       workers_(ex_),
-      peers_(ex_, settings_,
-             {[this](const peer::StatusMessage& b) { controller_.received(b); },
-              [this](const peer::RelayMessage& m) { controller_.relayed(m); },
-              [this](const std::string& member) { controller_.link_lost(member); }}),
-      controller_(
-          ex_, settings_, operator_settings_, record_format_,
-          {store_, cloud_, workers_, [this](const peer::StatusMessage& b) { peers_.broadcast(b); }, time_of_day_ms,
-           [this](const std::string& member, const peer::RelayMessage& m) {
-               return peers_.send_relay_message(member, m);
-           }}),
-      // Some sockets are needed for our own connections.
-      server_(ex_, settings_.listen.host, settings_.listen.port,
-              settings_.max_sockets - std::min<std::size_t>(settings_.max_sockets / 4, 64),
+      peers_(ex_, settings_, peer_callbacks()),
+      controller_(ex_, settings_, operator_settings_, record_format_, ports()),
+      server_(ex_, settings_.listen.host, settings_.listen.port, server_sockets(settings_),
               [this](net::Request request) { return controller_.handle(std::move(request)); }) {}
 
+peer::PeerConnections::Receive Node::peer_callbacks() {
+    return {[this](const peer::StatusMessage& status) { controller_.received(status); },
+            [this](const peer::RelayMessage& message) { controller_.relayed(message); },
+            [this](const std::string& member) { controller_.link_lost(member); }};
+}
+
+Ports Node::ports() {
+    return {store_,
+            cloud_,
+            workers_,
+            [this](const peer::StatusMessage& status) { peers_.broadcast(status); },
+            time_of_day_ms,
+            [this](const std::string& member, const peer::RelayMessage& message) {
+                return peers_.send_relay_message(member, message);
+            }};
+}
+
 void Node::start() {
     server_.start();
     peers_.start();
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -1,5 +1,5 @@
-// One controller on the network: its connections to the state service, the cloud, the other controllers, and its
-// server.
+// One controller on the network: its connections to the state service, the cloud and the other controllers, and its
+// HTTP server.
 #pragma once
 #include "app/controller.hpp"
 #include "net/http_server.hpp"
@@ -11,9 +11,13 @@
 class Node {
   public:
     Node(net::asio::io_context& io, config::Settings settings, config::OperatorSettings operator_settings);
+    // Starts serving. Call it once, before the io_context runs.
     void start();
 
   private:
+    peer::PeerConnections::Receive peer_callbacks();
+    Ports ports();
+
     net::Executor ex_;
     config::Settings settings_;
     config::OperatorSettings operator_settings_;
--- /dev/null
+++ b/src/app/peer_table.cpp
@@ -0,0 +1,56 @@
+#include "app/peer_table.hpp"
+
+namespace flintdale::app {
+
+using namespace std::chrono_literals;
+
+namespace {
+constexpr auto recent_within = 3s;
+constexpr double redirects_kept = 0.8;  // from one message of a peer to the next, a second later
+}  // namespace
+
+void PeerTable::update(const peer::StatusMessage& message, TimePoint now) {
+    auto& peer = peers_[message.member];
+    peer.received_at = now;
+    peer.reaches_store = message.state_ok;
+    peer.leading = message.leading;
+    peer.relays = message.relays;
+    peer.knows_records = message.generation > 0;
+    peer.writes = message.writes;
+    peer.redirects = peer.redirects * redirects_kept + message.redirects;
+    peer.incarnation = message.incarnation;
+    peer.term = message.term;
+}
+
+const PeerStatus* PeerTable::find(const std::string& member) const {
+    const auto it = peers_.find(member);
+    return it == peers_.end() ? nullptr : &it->second;
+}
+
+const PeerStatus* PeerTable::find_recent(const std::string& member, TimePoint now) const {
+    const auto* peer = find(member);
+    return peer && recent(*peer, now) ? peer : nullptr;
+}
+
+bool PeerTable::hears_any(TimePoint now) const {
+    return any_recent(now, [](const std::string&, const PeerStatus&) { return true; });
+}
+
+bool PeerTable::any_reaches_store(TimePoint now) const {
+    return any_recent(now, [](const std::string&, const PeerStatus& peer) { return peer.reaches_store; });
+}
+
+bool PeerTable::any_leading(TimePoint now) const {
+    return any_recent(now, [](const std::string&, const PeerStatus& peer) { return peer.leading; });
+}
+
+double PeerTable::recent_redirects(TimePoint now) const {
+    double redirects = 0;
+    for (const auto& [member, peer] : peers_)
+        if (recent(peer, now) && peer.reaches_store) redirects += peer.redirects;
+    return redirects;
+}
+
+bool PeerTable::recent(const PeerStatus& peer, TimePoint now) { return now - peer.received_at < recent_within; }
+
+}  // namespace flintdale::app
--- /dev/null
+++ b/src/app/record_committer.hpp
@@ -0,0 +1,25 @@
+// Writes the scheduler's changes to the state service, each batch on the condition that this term is still the newest.
+// After a conflict, or without an answer, it reads the keys again before the scheduler tries anew.
+#pragma once
+#include "app/term_context.hpp"
+
+namespace flintdale::app {
+
+class RecordCommitter {
+  public:
+    explicit RecordCommitter(TermContext& context) : context_(context) {}
+    // Runs until the term ends.
+    awaitable<void> run();
+
+  private:
+    // Writes one batch. False if nothing is to be written, or the term has ended.
+    awaitable<bool> commit_next_batch();
+    awaitable<void> recover_from_failure(scheduler::Batch batch, state::TxnResult result);
+    awaitable<void> read_again(std::vector<std::string> keys);
+    void log_failure(const state::TxnResult& result);
+
+    TermContext& context_;
+    state::Outcome last_outcome_ = state::Outcome::ok;
+};
+
+}  // namespace flintdale::app
--- /dev/null
+++ b/src/app/term_context.hpp
@@ -0,0 +1,67 @@
+// What all loops of one term of leadership share: the scheduler, the state service, the wake-ups of the committing and
+// the planning loop, and whether the term has read the records and still runs. LeaderTerm owns it.
+#pragma once
+#include <optional>
+
+#include "app/leader_term_environment.hpp"
+#include "config/settings.hpp"
+#include "election/elector.hpp"
+#include "model/clock.hpp"
+#include "net/asio.hpp"
+#include "scheduler/scheduler.hpp"
+#include "state/store.hpp"
+
+namespace flintdale::app {
+
+using net::awaitable;
+
+// All records under a prefix, and the revision of the first answer: a watch from there misses no change.
+struct RecordRange {
+    std::vector<state::KeyValue> items;
+    std::uint64_t revision = 0;
+};
+
+class TermContext {
+  public:
+    using TimePoint = model::TimePoint;
+
+    TermContext(net::Executor executor, state::Store& state_store, const config::Settings& cluster_settings,
+                const config::OperatorSettings& operator_settings, const state::RecordFormat& format,
+                election::Term term, LeaderTermEnvironment term_environment);
+
+    // The current time, for a caller that is about to act on what was known before. The clock runs on while a process
+    // is paused, so after a gap missing heartbeats say nothing about machines, and another controller may lead. The
+    // loops call this at least once a second; the first call after a gap reports the pause.
+    TimePoint now_checking_for_pause();
+
+    // Something changed: write what must be written, and plan again.
+    void request_commit_and_planning();
+    void request_planning();
+    // Ends all loops, each at its next step.
+    void stop();
+
+    // A transaction that fails unless this term is still the newest on record.
+    state::Txn conditioned_on_term() const;
+    // Reads all keys with that prefix, and retries until the state service has answered; nothing if the term has ended
+    // meanwhile.
+    awaitable<std::optional<RecordRange>> read_all(std::string prefix);
+
+    state::Store& store;
+    const config::Settings& settings;
+    const state::RecordFormat& record_format;
+    LeaderTermEnvironment environment;
+    std::uint64_t term_number;
+    scheduler::Scheduler scheduler;
+    net::Wakeup commit_wakeup, planning_wakeup;
+    bool stopped = false;
+    bool loaded = false;              // the records have been read
+    bool planning_requested = false;  // something changed since the last pass
+    TimePoint loaded_at{};
+    // When the last read began that showed all cancellations up to then.
+    TimePoint cancellations_read_at{};
+
+  private:
+    TimePoint last_active_;
+};
+
+}  // namespace flintdale::app
