--- a/apps/simulator_main.cpp
+++ b/apps/simulator_main.cpp
@@ -71,8 +71,8 @@
     std::mutex mutex;
     const auto work = [&] {
         for (auto n = next++; n < seeds; n = next++) {
-            simulator::Simulation world(scenario, seed + n);
-            const auto outcome = world.play();
+            simulator::Simulation simulation(scenario, seed + n);
+            const auto outcome = simulation.run();
             const auto line = simulator::to_line(outcome);
             const std::lock_guard lock(mutex);
             broken += !outcome.broken.empty();
--- a/src/load_test/ordered_checker.hpp
+++ b/src/load_test/ordered_checker.hpp
@@ -27,7 +27,7 @@
         events_.advance_to(until);
         if (until - looked_ < look_gap) return;
         looked_ = until;
-        checker_.look();
+        checker_.check_deadlines();
     }
     void submitted(const model::JobSpec& spec) { checker_.submitted(spec); }
     const simulator::Checker& checker() const { return checker_; }
--- a/src/load_test/state_server.cpp
+++ b/src/load_test/state_server.cpp
@@ -59,7 +59,7 @@
 StateServer::StateServer(net::Executor ex, simulator::Events& events, const config::StoreLimits& limits,
                          const config::Address& address)
     : events_(events),
-      keys_(events),
+      store_(events),
       limits_(limits),
       requests_(limits.rps, 1, events.now()),
       writes_(limits.write_rps, 1, events.now()),
@@ -67,14 +67,14 @@
               [this](net::Request request) { return handle(std::move(request)); }) {}
 
 std::string StateServer::leader() {
-    keys_.expire();
-    const auto holder = keys_.get(election::holder_key);
+    store_.expire();
+    const auto holder = store_.get(election::holder_key);
     return holder.mod_revision ? std::string(holder.value.as_object().at("member").as_string()) : std::string();
 }
 
 awaitable<net::Reply> StateServer::handle(net::Request request) {
     events_.advance_to(Clock::now());
-    keys_.expire();
+    store_.expire();
     ++counts_.requests;
     net::Reply out;
     if (!requests_.take(1, events_.now())) {
@@ -109,12 +109,12 @@
 }
 
 net::Reply StateServer::get(const std::string& key) {
-    const auto item = keys_.get(key);
-    return item.mod_revision ? reply(200, item_json(item)) : reply(404, {{"epoch", keys_.revision()}});
+    const auto item = store_.get(key);
+    return item.mod_revision ? reply(200, item_json(item)) : reply(404, {{"epoch", store_.revision()}});
 }
 
 net::Reply StateServer::range(const Query& query) {
-    const auto found = keys_.range(query.text("starts"), query.text("from"));
+    const auto found = store_.range(query.text("starts"), query.text("from"));
     const auto page = std::min<std::size_t>(query.number("page", most_items), most_items);
     json::array items;
     std::size_t bytes = 0;
@@ -139,7 +139,7 @@
         return reply(429, {});
     }
     counts_.writes += txn.changes.size();
-    const auto result = keys_.commit(txn);
+    const auto result = store_.commit(txn);
     if (result.outcome == state::Outcome::no_lease) return malformed("no such lease");
     if (result.outcome == state::Outcome::ok) return reply(200, {{"epoch", result.revision}});
     return reply(409, {{"failed", json::value_from(result.failed)}, {"epoch", result.revision}});
@@ -149,14 +149,14 @@
     if (path == "/grants") {
         const auto ttl = wire::parse_object(request.body).at("life_ms").to_number<std::uint64_t>();
         if (ttl < shortest_lease_ms || ttl > longest_lease_ms) return malformed("life_ms: out of range");
-        return reply(200, {{"permit", keys_.grant(std::chrono::milliseconds(ttl))}});
+        return reply(200, {{"permit", store_.grant(std::chrono::milliseconds(ttl))}});
     }
     const auto id = std::stoull(path.substr(lease_prefix.size()));
     if (request.verb == verb::delete_) {
-        keys_.revoke(id);
+        store_.revoke(id);
         return reply(200, {});
     }
-    return keys_.renew(id) ? reply(200, {{"permit", id}}) : reply(404, {});
+    return store_.renew(id) ? reply(200, {{"permit", id}}) : reply(404, {});
 }
 
 awaitable<net::Reply> StateServer::watch(Query query) {
@@ -167,11 +167,11 @@
     const auto until = Clock::now() + hold;
     std::uint64_t looked_at = 0;
     for (bool first = true;; first = false) {
-        keys_.expire();
+        store_.expire();
         const bool over = Clock::now() >= until;
-        if (first || over || keys_.revision() != looked_at) {
-            looked_at = keys_.revision();
-            const auto seen = keys_.changes(prefix, from);
+        if (first || over || store_.revision() != looked_at) {
+            looked_at = store_.revision();
+            const auto seen = store_.changes(prefix, from);
             if (seen.outcome == state::Outcome::too_old) co_return reply(410, {});
             if (!seen.events.empty() || over) {
                 json::array events;
--- a/src/load_test/state_server.hpp
+++ b/src/load_test/state_server.hpp
@@ -1,4 +1,4 @@
-// The state service by its protocol, over HTTP: simulator::Keys behind its limits.
+// The state service by its protocol, over HTTP: simulator::KeyValueStore behind its limits.
 #pragma once
 #include "load_test/query.hpp"
 #include "load_test/rate_limit.hpp"
@@ -32,7 +32,7 @@
     awaitable<net::Reply> watch(Query query);
 
     simulator::Events& events_;
-    simulator::Keys keys_;
+    simulator::KeyValueStore store_;
     config::StoreLimits limits_;
     RateLimit requests_, writes_;
     Counts counts_;
--- a/src/simulator/checker.hpp
+++ b/src/simulator/checker.hpp
@@ -47,23 +47,23 @@
     // older.
     void told(const std::string& uid, const std::string& status, TimePoint asked);
     void told_unknown(const std::string& uid);  // 404, or 400 or 422 to a repetition
-    void accepted_unsound(const std::string& uid) { breaks("unsound", uid + " was accepted"); }
+    void accepted_invalid(const std::string& uid) { record_violation("unsound", uid + " was accepted"); }
     std::size_t done_of(const std::string& uid) const {
         const auto it = jobs_.find(uid);
         return it == jobs_.end() ? 0 : it->second.done.size();
     }
     // Whether so many more tasks of the job's kind would keep its team within its limit.
     bool within_limit(const model::JobSpec& spec, std::size_t tasks) const;
-    void left_waiting(const std::string& uid) { breaks("left_waiting", uid); }
+    void left_waiting(const std::string& uid) { record_violation("left_waiting", uid); }
     void unanswered(const std::string& uid);  // no question about it for long after all troubles
     // Whether its user has been told that it is over.
     bool final_told(const std::string& uid) const {
         const auto it = jobs_.find(uid);
-        return it != jobs_.end() && !it->second.final_word.empty();
+        return it != jobs_.end() && !it->second.final_status.empty();
     }
     void asked_to_cancel(const std::string& uid) { jobs_[uid].cancel_asked = true; }
 
-    void look();  // now and then: what may not last too long
+    void check_deadlines();  // now and then: what may not last too long
 
     // Rule -> how often it was broken; a line on the first of each.
     const std::map<std::string, unsigned>& broken() const { return broken_; }
@@ -80,12 +80,12 @@
     struct Job {
         model::JobSpec spec;
         bool accepted = false, cancel_asked = false;
-        std::string final_word;  // done or aborted, once told
+        std::string final_status;  // done or aborted, once told
         TimePoint told_at{};
         std::set<std::uint32_t> done, ever;
         std::map<std::uint32_t, Place> on;
     };
-    void breaks(const std::string& rule, const std::string& what);
+    void record_violation(const std::string& rule, const std::string& what);
 
     Events& events_;
     const config::Settings& settings_;
--- a/src/simulator/events.hpp
+++ b/src/simulator/events.hpp
@@ -1,5 +1,6 @@
-// What happens when, and the luck of a run. Everything of one world happens in one thread, in one order. Time is
-// virtual, or is told from outside: by the process's clock, or by whoever replays what happened elsewhere.
+// The event queue, the clock and the random source of a run. All events of one run happen in one thread, in one order:
+// by time, then by the order in which they were planned. Time is virtual, or is set from outside: by the process's
+// clock, or by whoever replays what happened elsewhere.
 #pragma once
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_real_distribution.hpp>
@@ -16,9 +17,9 @@
 class Events {
   public:
     // A virtual time, in place of the process's clock.
-    explicit Events(std::uint64_t seed) : virtual_(true), luck_(seed) { model::Clock::simulated = &now_; }
+    explicit Events(std::uint64_t seed) : virtual_(true), random_(seed) { model::Clock::simulated = &now_; }
     // A time that moves by advance_to() only. The process's clock is left alone.
-    Events(std::uint64_t seed, TimePoint start) : start_(start), now_(start), luck_(seed) {}
+    Events(std::uint64_t seed, TimePoint start) : start_(start), now_(start), random_(seed) {}
     ~Events() {
         if (virtual_) model::Clock::simulated = nullptr;
     }
@@ -43,10 +44,10 @@
     }
 
     double uniform(double from, double to) {
-        return from < to ? boost::random::uniform_real_distribution<double>(from, to)(luck_) : from;
+        return from < to ? boost::random::uniform_real_distribution<double>(from, to)(random_) : from;
     }
     bool chance(double p) { return uniform(0, 1) < p; }
-    std::size_t pick(std::size_t n) { return n ? static_cast<std::size_t>(luck_() % n) : 0; }
+    std::size_t pick(std::size_t n) { return n ? static_cast<std::size_t>(random_() % n) : 0; }
 
   private:
     struct Event {
@@ -60,7 +61,7 @@
     TimePoint now_ = start_;
     std::uint64_t number_ = 0;
     std::priority_queue<Event> queue_;
-    boost::random::mt19937_64 luck_;
+    boost::random::mt19937_64 random_;
 };
 
 }  // namespace flintdale::simulator
--- a/src/simulator/fleet.cpp
+++ b/src/simulator/fleet.cpp
@@ -96,7 +96,7 @@
     if (it == hosts_.end()) return nullptr;
     const auto& h = *it->second;
     const auto now = events_.now();
-    const bool silent = h.dead || !h.up || now < h.hangs_until || now < h.cut_until || now < h.deaf_until;
+    const bool silent = h.dead || !h.up || now < h.hangs_until || now < h.cut_until || now < h.answers_lost_until;
     return silent ? nullptr : it->second;
 }
 
@@ -119,7 +119,7 @@
         } else {
             host->changed = host->changed || fencing_token > host->fencing_token;
             host->fencing_token = fencing_token;
-            obey(host, o.at("orders").as_array());
+            execute(host, o.at("orders").as_array());
         }
     } catch (const std::exception& e) {
         reply.status = 400;
@@ -197,11 +197,11 @@
     request.verb = net::http::verb::post;
     request.target = "/agent/beat";
     request.body = body_of(h);
-    if (events_.now() < h.cut_until || events_.now() < h.mute_until) {
+    if (events_.now() < h.cut_until || events_.now() < h.heartbeats_lost_until) {
         events_.after(patience, [this, host, incarnation, sent] { answered(host, incarnation, sent, 0, ""); });
         return;
     }
-    if (late_reports > 0 && events_.chance(late_reports))
+    if (repeated_heartbeats > 0 && events_.chance(repeated_heartbeats))
         events_.after(Seconds(events_.uniform(2, settings_.worker_lease.count() * latest_copy)),
                       [this, node = h.node, from = Origin{h.name, h.zone}, request] {
                           ask_(node, from, request, patience, [](unsigned, const std::string&) {});
@@ -215,7 +215,7 @@
 void Fleet::answered(const HostPtr& host, std::uint64_t incarnation, TimePoint sent, unsigned status,
                      const std::string& body) {
     auto& h = *host;
-    if (events_.now() < h.deaf_until && status != 0) {
+    if (events_.now() < h.answers_lost_until && status != 0) {
         events_.after(std::max(Seconds(0), patience - Seconds(events_.now() - sent)),
                       [this, host, incarnation, sent] { answered(host, incarnation, sent, 0, ""); });
         return;
@@ -248,7 +248,7 @@
         last_answer[h.node] = events_.now();
         const auto& commands = o.at("orders").as_array();
         if (answer_accepted) answer_accepted(fencing_token, std::any_of(commands.begin(), commands.end(), is_run));
-        obey(host, commands);
+        execute(host, commands);
     }
     if (h.changed)
         changed(host);
@@ -256,7 +256,7 @@
         schedule_report(host, settings_.heartbeat_interval * events_.uniform(0.75, 1.25));
 }
 
-void Fleet::obey(const HostPtr& host, const json::array& commands) {
+void Fleet::execute(const HostPtr& host, const json::array& commands) {
     for (const auto& v : commands) {
         const auto& o = v.as_object();
         const std::string shard(o.at("shard").as_string());
@@ -485,8 +485,8 @@
     for (const auto& h : some(share)) h->cut_until = events_.now() + model::to_clock(lasts);
 }
 
-void Fleet::mute(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->mute_until = events_.now() + model::to_clock(lasts);
+void Fleet::lose_heartbeats(double share, Seconds lasts) {
+    for (const auto& h : some(share)) h->heartbeats_lost_until = events_.now() + model::to_clock(lasts);
 }
 
 void Fleet::hang_with(const std::string& uid, std::size_t machines, Seconds lasts) {
@@ -500,8 +500,8 @@
     }
 }
 
-void Fleet::deafen(double share, Seconds lasts) {
-    for (const auto& h : some(share)) h->deaf_until = events_.now() + model::to_clock(lasts);
+void Fleet::lose_answers(double share, Seconds lasts) {
+    for (const auto& h : some(share)) h->answers_lost_until = events_.now() + model::to_clock(lasts);
 }
 
 std::size_t Fleet::answered_by(std::size_t node, Seconds within) const {
@@ -519,7 +519,7 @@
     return out;
 }
 
-std::size_t Fleet::held(const std::string& uid) const {
+std::size_t Fleet::tasks_on_machines(const std::string& uid) const {
     std::size_t out = 0;
     for (const auto& [name, h] : hosts_)
         for (const auto& [task, t] : h->tasks) out += task.first == uid && t.status != TaskStatus::exited;
@@ -531,7 +531,7 @@
     const auto now = events_.now();
     for (const auto& [name, h] : hosts_) {
         const bool reached = h->up && !h->dead && now >= h->hangs_until && now >= h->cut_until &&
-                             now >= h->deaf_until && now >= h->mute_until;
+                             now >= h->answers_lost_until && now >= h->heartbeats_lost_until;
         const bool wanted = (!spec.types || std::count(spec.types->begin(), spec.types->end(), h->type->name) > 0) &&
                             (!spec.zone || *spec.zone == h->zone) && (spec.spot || !h->spot);
         if (!reached || !wanted) continue;
--- a/src/simulator/fleet.hpp
+++ b/src/simulator/fleet.hpp
@@ -58,10 +58,10 @@
     void restart(const std::string& machine);
     void hang(double share, Seconds lasts);
     void cut(double share, Seconds lasts);
-    void deafen(double share, Seconds lasts);  // reports arrive, answers and direct questions do not
-    void mute(double share, Seconds lasts);    // reports reach no controller, direct questions arrive
+    void lose_answers(double share, Seconds lasts);     // reports arrive, answers and direct questions do not
+    void lose_heartbeats(double share, Seconds lasts);  // reports reach no controller, direct questions arrive
     void hang_with(const std::string& uid, std::size_t machines, Seconds lasts);  // so many that hold tasks of the job
-    double late_reports = 0;  // share of the reports of which a copy arrives again
+    double repeated_heartbeats = 0;  // share of the reports of which a copy arrives again
 
     // Workers of which the last answer that counted came from that controller.
     std::size_t answered_by(std::size_t node, Seconds within) const;
@@ -72,7 +72,7 @@
     std::map<TaskName, std::string> running() const;
     bool alive(const std::string& machine) const;
     // Tasks of the job that are on machines in any state.
-    std::size_t held(const std::string& uid) const;
+    std::size_t tasks_on_machines(const std::string& uid) const;
     // Machines that can be reached and that the job may use, with the number of its tasks that they have room for now.
     using Room = std::map<std::string, std::size_t>;
     Room room_on(const model::JobSpec& spec) const;
@@ -98,7 +98,7 @@
         const model::MachineType* type = nullptr;
         std::string zone;
         bool spot = false, up = false, dead = false, in_flight = false, changed = false;
-        TimePoint lease_from{}, last_sent{}, hangs_until{}, cut_until{}, deaf_until{}, mute_until{};
+        TimePoint lease_from{}, last_sent{}, hangs_until{}, cut_until{}, answers_lost_until{}, heartbeats_lost_until{};
         std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0, timer = 0;
         std::size_t node = 0;
         std::map<TaskName, Task> tasks;
@@ -117,7 +117,7 @@
     void report(const HostPtr& host);
     void answered(const HostPtr& host, std::uint64_t incarnation, TimePoint sent, unsigned status,
                   const std::string& body);
-    void obey(const HostPtr& host, const boost::json::array& commands);
+    void execute(const HostPtr& host, const boost::json::array& commands);
     void run(const HostPtr& host, const TaskName& name, std::uint64_t attempt);
     void has_image(const HostPtr& host, const TaskName& name, std::uint64_t serial);
     void starts(const HostPtr& host, const TaskName& name);
--- a/src/simulator/scenario.hpp
+++ b/src/simulator/scenario.hpp
@@ -8,11 +8,10 @@
 #include "model/clock.hpp"
 #include "model/job.hpp"
 #include "model/machine.hpp"
+#include "simulator/fault.hpp"
 
 namespace flintdale::simulator {
 
-using model::Seconds;
-
 struct JobClass {
     model::JobSpec like;  // everything but the name
     int initial = 0;      // that come at the start
@@ -23,22 +22,6 @@
     double cancel_from = 5, cancel_to = 60;
 };
 
-// One trouble. Which of the fields count depends on the kind; docs/emulator.md lists them.
-struct Fault {
-    std::string kind;
-    Seconds at{0}, lasts{0};
-    double share = 1;  // of the machines concerned
-    std::string node;  // a controller, "leader" or "all"
-    std::string zone, prefix;
-    double seconds = 0;           // set_back; cancel_now: that machines of such jobs hang
-    double times = 1, every = 1;  // crash: so often, each so many seconds after the one before
-    // The seed draws between `at` and `at_to`, `lasts` and `lasts_to`, and whether it happens at all. `after`: a step
-    // that has to be seen first, since the trouble before it in the list has begun; `at` counts from then.
-    Seconds at_to{0}, lasts_to{0};
-    double chance = 1;
-    std::string after;
-};
-
 struct Scenario {
     std::string name, cluster;  // the platform's settings but for what differs between controllers
     std::vector<std::string> members, member_zones;
@@ -56,7 +39,7 @@
     double direct_share = 1;                  // the operators' workers.direct_share; 0: all reports are relayed
     std::size_t pairs = 0;  // pairs of troubles drawn by the seed, the second after a step of the first
     std::vector<JobClass> jobs;
-    std::vector<Fault> troubles;
+    std::vector<Fault> faults;
 };
 
 // Throws config::ConfigError, naming what is wrong where.
--- a/src/simulator/state_service.hpp
+++ b/src/simulator/state_service.hpp
@@ -12,9 +12,9 @@
 namespace flintdale::simulator {
 
 // The keys, their history and the leases.
-class Keys {
+class KeyValueStore {
   public:
-    explicit Keys(Events& events) : events_(events) {}
+    explicit KeyValueStore(Events& events) : events_(events) {}
 
     state::TxnResult commit(const state::Txn& txn);
     state::KeyValue get(const std::string& key) const;
@@ -24,24 +24,24 @@
     std::uint64_t grant(Seconds ttl);
     bool renew(std::uint64_t lease);
     void revoke(std::uint64_t lease);
-    void expire();   // leases that have run out, and their keys
-    void prolong();  // after an outage: every lease has its full time again
-    void end_all();  // leases, as if nobody had renewed one
+    void expire();             // leases that have run out, and their keys
+    void extend_leases();      // after an outage: every lease has its full time again
+    void expire_all_leases();  // leases, as if nobody had renewed one
     std::uint64_t revision() const { return revision_; }
 
     // Data are lost. Nobody is told.
-    void wipe();
-    void set_back(Seconds by);                                        // to what it was that long ago
-    std::size_t lose(const std::string& prefix);                      // silently
-    std::size_t age(const std::string& prefix, std::size_t most);     // single values are older than they were
-    std::size_t garble(const std::string& prefix, std::size_t most);  // or no values any more
+    void erase_all();
+    void roll_back(Seconds by);                                        // to what it was that long ago
+    std::size_t erase(const std::string& prefix);                      // silently
+    std::size_t revert(const std::string& prefix, std::size_t most);   // single values are older than they were
+    std::size_t corrupt(const std::string& prefix, std::size_t most);  // or no values any more
 
   private:
     struct Lease {
         Seconds ttl{0};
         TimePoint ends{};
     };
-    struct Logged {
+    struct Change {
         std::uint64_t revision;
         TimePoint at;
         std::string key;
@@ -51,16 +51,17 @@
 
     Events& events_;
     std::map<std::string, state::KeyValue> items_;
-    std::map<std::string, std::uint64_t> attached_;  // key -> lease
+    std::map<std::string, std::uint64_t> leased_keys_;  // key -> lease
     std::map<std::uint64_t, Lease> leases_;
-    std::deque<Logged> log_;
+    std::deque<Change> history_;
     std::uint64_t revision_ = 0, last_lease_ = 0;
 };
 
 // How one controller reaches it.
-class StateLink : public state::Service {
+class StoreLink : public state::Service {
   public:
-    StateLink(net::Executor ex, Events& events, Keys& keys, const config::StoreLimits& limits, std::size_t nodes);
+    StoreLink(net::Executor ex, Events& events, KeyValueStore& keys, const config::StoreLimits& limits,
+              std::size_t nodes);
 
     // Everyone's outage, or this controller's alone; a cut lets requests vanish instead.
     const bool* outage = nullptr;
@@ -88,16 +89,16 @@
 
   private:
     // The way there: false if the request does not arrive, with what its sender sees.
-    net::awaitable<bool> reach(double writes, state::RequestPriority priority, state::Outcome& seen);
-    net::awaitable<void> back();
-    net::awaitable<void> dawdle();
+    net::awaitable<bool> send_request(double writes, state::RequestPriority priority, state::Outcome& seen);
+    net::awaitable<void> send_answer();
+    net::awaitable<void> delay();
 
     Events& events_;
-    Keys& keys_;
+    KeyValueStore& store_;
     config::StoreLimits limits_;
     double nodes_;
     state::RequestLimiter limiter_;
-    model::TimePoint good_{}, bad_{};
+    model::TimePoint last_success_{}, last_failure_{};
 };
 
 }  // namespace flintdale::simulator
--- a/tests/fault_combinations_test.cpp
+++ b/tests/fault_combinations_test.cpp
@@ -115,20 +115,20 @@
 lasts_s = 70
 )";
 
-simulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
+simulator::RunResult play(const std::string& troubles, std::uint64_t seed) {
     spdlog::set_level(spdlog::level::off);
     const auto scenario = simulator::parse_scenario(world + troubles, "story");
-    return simulator::Simulation(scenario, seed).play();
+    return simulator::Simulation(scenario, seed).run();
 }
 
-std::string broken(const simulator::Outcome& o) {
+std::string broken(const simulator::RunResult& o) {
     std::string out;
     for (const auto& [rule, first] : o.first) out += rule + " at " + first + "; ";
     for (const auto& name : o.left_behind) out += name + " left behind; ";
     return out;
 }
 
-void expect_met(const simulator::Outcome& o) {
+void expect_met(const simulator::RunResult& o) {
     EXPECT_GT(o.met_cancelled, 0u) << "nothing that ran was cancelled through another controller";
     EXPECT_GT(o.met_workers, 10u) << "the workers were not with the old leader when the outage began";
     EXPECT_GT(o.met_answers, 0u) << "the old leader answered nobody";
@@ -395,7 +395,7 @@
 const std::string at_once = "after = \"begun\"\nat_s = 0\n";
 
 void expect_whole(const std::string& troubles, std::initializer_list<std::uint64_t> seeds,
-                  const std::function<void(const simulator::Outcome&)>& met) {
+                  const std::function<void(const simulator::RunResult&)>& met) {
     for (const auto seed : seeds) {
         SCOPED_TRACE(seed);
         const auto o = play(troubles, seed);
@@ -445,7 +445,7 @@
     spdlog::set_level(spdlog::level::off);
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = simulator::Simulation(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).run();
         EXPECT_GT(o.called_off_at_end, 8u);
         EXPECT_GT(o.words, 100u) << "questions about jobs of which an end had been told";
         EXPECT_GT(o.odd_refused, 100u);
@@ -524,7 +524,7 @@
     spdlog::set_level(spdlog::level::off);
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = simulator::Simulation(simulator::parse_scenario(limited + troubles, "limited"), seed).play();
+        const auto o = simulator::Simulation(simulator::parse_scenario(limited + troubles, "limited"), seed).run();
         const auto free = play(troubles, seed);
         EXPECT_LT(o.started, free.started) << "the limit binds";
         EXPECT_GT(o.cancelled_running, 5u);
--- a/tests/recovery_simulation_test.cpp
+++ b/tests/recovery_simulation_test.cpp
@@ -126,15 +126,15 @@
      "lasts_s = 5\nat_s = 50.3"},
 };
 
-simulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
+simulator::RunResult play(const std::string& troubles, std::uint64_t seed) {
     spdlog::set_level(spdlog::level::off);
     std::string text = world;
     if (!troubles.empty()) text += "[[troubles]]\n" + troubles + "\n";
     const auto scenario = simulator::parse_scenario(text, "story");
-    return simulator::Simulation(scenario, seed).play();
+    return simulator::Simulation(scenario, seed).run();
 }
 
-std::string broken(const simulator::Outcome& o) {
+std::string broken(const simulator::RunResult& o) {
     std::string out;
     for (const auto& [rule, first] : o.first) out += rule + " at " + first + "; ";
     return out;
@@ -226,7 +226,7 @@
             "\n[[troubles]]\nkind = \"machines_die\"\nshare = 0.33\nat_s = 56\n";
     spdlog::set_level(spdlog::level::off);
     const auto scenario = simulator::parse_scenario(text, "back at once");
-    const auto o = simulator::Simulation(scenario, 7).play();
+    const auto o = simulator::Simulation(scenario, 7).run();
     EXPECT_EQ(broken(o), "");
     EXPECT_GT(o.accepted, 20u);
     EXPECT_TRUE(o.left_behind.empty()) << o.left_behind.front();
@@ -268,7 +268,7 @@
     spdlog::set_level(spdlog::level::off);
     const auto scenario = simulator::parse_scenario(text, "late");
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        const auto o = simulator::Simulation(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).run();
         EXPECT_EQ(broken(o), "") << seed;
         EXPECT_EQ(o.rebuilt, 0u) << seed;
         EXPECT_GT(o.accepted, 15u) << seed;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -430,7 +430,7 @@
     const auto scenario = simulator::parse_scenario(relayed_world + troubles, "relayed");
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE(seed);
-        const auto o = simulator::Simulation(scenario, seed).play();
+        const auto o = simulator::Simulation(scenario, seed).run();
         for (const auto& [rule, first] : o.first) ADD_FAILURE() << rule << " at " << first;
         EXPECT_EQ(o.left_behind, std::vector<std::string>());
         EXPECT_GT(o.relayed, 500u);
