--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -141,9 +141,9 @@
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
     callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
     callbacks.new_term = [this](const char* why) { elector_.restart_term(why); };
-    using Look = recovery::RecoveryCoordinator::Callbacks::Look;
+    using Look = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
     callbacks.outcomes = [this](const std::vector<state::KeyValue>& items, model::TimePoint began, Look look) {
-        if (look == Look::after_a_gap) follower_leases_.lost_track(Clock::now());
+        if (look == Look::after_gap) follower_leases_.lost_track(Clock::now());
         follower_leases_.watched(items, began);
         // After a rebuilding it is all there ever were: what of that is told anew is noted then.
         for (const auto& item : items)
@@ -168,7 +168,7 @@
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
     callbacks.loss = [this](const char* why, bool beyond_memory) {
         using Loss = recovery::RecoveryCoordinator::Loss;
-        recovery_.suspect_loss(why, beyond_memory ? Loss::beyond_memory : Loss::seen);
+        recovery_.suspect_loss(why, beyond_memory ? Loss::beyond_replica : Loss::detected);
     };
     callbacks.over = [this](const std::string& uid) { return recovery_.replica().is_over(uid); };
     callbacks.cancelled_for = [this](const std::string& uid) {
@@ -339,7 +339,7 @@
         const auto records = recovery_.own_status();
         b.generation = records.generation;
         b.history = records.id;
-        b.remembers = records.remembers;
+        b.remembers = records.complete_up_to;
         b.rebuilding = records.rebuilding;
         b.incarnation = incarnation_;
         b.cancellations = cancellations_.make_report(Clock::now());
@@ -443,7 +443,7 @@
     if (elector_.leading() && recovery_.ready() &&
         r.fencing_token > std::max(term_.previous, recovery_.recovered_in_term()) && r.fencing_token < term_.number)
         recovery_.suspect_loss("a worker has seen a term that is not on record",
-                               recovery::RecoveryCoordinator::Loss::beyond_memory);
+                               recovery::RecoveryCoordinator::Loss::beyond_replica);
 }
 
 HeartbeatService::Callbacks Controller::heartbeat_callbacks() {
--- a/src/recovery/consistency_check.cpp
+++ b/src/recovery/consistency_check.cpp
@@ -13,14 +13,14 @@
                                                               RequestPriority priority) const {
     const auto mark = replica_.mark();
     const auto newest = newest_();
-    const auto from = after;
+    const auto first = after;
     const bool all = prefix == scheduler::jobs_prefix;
     Page out;
     out.read = co_await store_.range(std::move(prefix), std::move(after), priority);
     if (out.read.outcome != Outcome::ok || !replica_.holds(mark)) co_return out;
     out.went_back = out.read.revision < newest;
-    const auto to = out.read.more && !out.read.items.empty() ? out.read.items.back().key : std::string();
-    if (all) out.missing = replica_.missing_from(mark, from, to, out.read.items);
+    const auto last = out.read.more && !out.read.items.empty() ? out.read.items.back().key : std::string();
+    if (all) out.missing = replica_.missing_from(mark, first, last, out.read.items);
     co_return out;
 }
 
@@ -50,24 +50,25 @@
         out.verdict = Verdict::sound;
         co_return out;
     }
-    // At one revision: it is what was just read, and its job has no outcome that would let it be removed.
+    // At one revision: the record is what was just read, and its job has no outcome that would let it be removed.
     state::Txn txn;
     txn.conditions.push_back({out.key, got.item.mod_revision});
     const auto work = scheduler::parse_work_key(out.key);
     const auto outcome = work ? scheduler::outcome_key(work->uid) : std::string();
     if (work) txn.conditions.push_back({outcome, 0});
-    const auto at_once = co_await store_.commit(std::move(txn), priority);
+    const auto confirmed = co_await store_.commit(std::move(txn), priority);
     if (!replica_.holds(mark)) co_return out;
-    if (at_once.outcome == Outcome::conflict) {
-        const bool over = std::find(at_once.failed.begin(), at_once.failed.end(), outcome) != at_once.failed.end();
-        // Over, or written just now: then it is looked at once more.
+    if (confirmed.outcome == Outcome::conflict) {
+        const bool over =
+            std::find(confirmed.failed.begin(), confirmed.failed.end(), outcome) != confirmed.failed.end();
+        // Over, or written just now: then it is read once more.
         if (over) out.verdict = Verdict::sound;
         co_return out;
     }
-    if (at_once.outcome != Outcome::ok) co_return out;
+    if (confirmed.outcome != Outcome::ok) co_return out;
     out.verdict = Verdict::lost;
     out.present = got.item.mod_revision;
-    out.revision = at_once.revision;
+    out.revision = confirmed.revision;
     co_return out;
 }
 
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -16,9 +16,9 @@
 
 std::optional<json::object> object_of(const std::string& text) {
     json::error_code ec;
-    auto v = json::parse(text, ec);
-    if (ec || !v.is_object()) return std::nullopt;
-    return std::move(v.get_object());
+    auto value = json::parse(text, ec);
+    if (ec || !value.is_object()) return std::nullopt;
+    return std::move(value.get_object());
 }
 
 model::JobState state_of(const std::string& text) {
@@ -31,7 +31,7 @@
 }
 
 // Two sources of one history cannot hold different values of one revision of a key, but for damage or a history that
-// forked. Then done is worth more than cancelled, and a higher attempt than a lower one.
+// forked. Then done takes precedence over cancelled, and a higher attempt over a lower one.
 auto precedence(const std::string& key, const std::string& text) {
     std::uint64_t rank = 0;
     if (is_outcome_key(key)) {
@@ -39,7 +39,8 @@
     } else if (const auto o = object_of(text)) {
         const auto* tasks = o->if_contains("tasks");
         if (tasks && tasks->is_array()) try {
-                for (const auto& r : wire::ranges_from_record(tasks->get_array())) rank = std::max(rank, r.attempt);
+                for (const auto& range : wire::ranges_from_record(tasks->get_array()))
+                    rank = std::max(rank, range.attempt);
             } catch (const std::exception&) {
                 rank = 0;
             }
@@ -52,13 +53,14 @@
     return o && (!is_outcome_key(key) || state_of(text) != model::JobState::open);
 }
 
+// One merge. The steps of merge() come in the order in which they must be taken.
 class Merger {
   public:
     explicit Merger(const std::vector<ReplicaContents>& sources) {
-        for (const auto& s : sources)
-            if (s.whole) newest_whole_ = std::max(newest_whole_, s.generation);
-        for (const auto& s : sources)
-            if (s.generation >= newest_whole_) used_.push_back(&s);
+        for (const auto& source : sources)
+            if (source.whole) newest_whole_ = std::max(newest_whole_, source.generation);
+        for (const auto& source : sources)
+            if (source.generation >= newest_whole_) used_.push_back(&source);
     }
 
     Merged merge(const ReplicaContents& store) {
@@ -66,7 +68,7 @@
         drop_removed();
         for (auto& [key, newest] : newest_) out_.records.emplace(key, newest.record->text);
         add_stored(store);
-        drop_finished_work();
+        drop_finished_and_orphaned_work();
         return std::move(out_);
     }
 
@@ -79,49 +81,51 @@
 
     void report(std::string what) { unrecoverable_.insert(std::move(what)); }
 
+    // Takes the newest readable value of each key from the sources.
     void take_newest() {
-        for (const auto* s : used_)
-            for (const auto& [key, record] : s->records) {
+        for (const auto* source : used_)
+            for (const auto& [key, record] : source->records) {
                 if (!readable(key, record.text)) {
                     report("unreadable " + key);
                     continue;
                 }
                 auto& newest = newest_[key];
-                const auto candidate = std::tuple(s->generation, record.mod_revision);
+                const auto candidate = std::tuple(source->generation, record.mod_revision);
                 const auto present =
                     newest.record ? std::tuple(newest.generation, newest.record->mod_revision) : std::tuple(0ul, 0ul);
                 if (newest.record && candidate == present && record.text != newest.record->text)
                     report("two values of " + key);
                 if (!newest.record || candidate > present ||
                     (candidate == present && precedence(key, record.text) > precedence(key, newest.record->text)))
-                    newest = {s->generation, &record};
+                    newest = {source->generation, &record};
             }
     }
 
     // Only work of jobs that are over is ever removed, and only whoever knows the outcome can have seen that: what a
-    // source lacks beside that it may have lost, or never had, for it began with a service that was set back.
+    // source lacks beside that it may have lost, or never had, for it began with a store that was set back.
     void drop_removed() {
-        for (const auto* s : used_) {
-            if (!s->whole) continue;
+        for (const auto* source : used_) {
+            if (!source->whole) continue;
             std::erase_if(newest_, [&](const auto& entry) {
                 const auto& [key, newest] = entry;
-                if (is_outcome_key(key) || newest.generation != s->generation ||
-                    newest.record->mod_revision > s->revision || s->records.contains(key))
+                if (is_outcome_key(key) || newest.generation != source->generation ||
+                    newest.record->mod_revision > source->revision || source->records.contains(key))
                     return false;
                 const auto work = scheduler::parse_work_key(key);
-                return work && s->records.contains(scheduler::outcome_key(work->uid));
+                return work && source->records.contains(scheduler::outcome_key(work->uid));
             });
         }
     }
 
-    // Whether somebody who knows everything up to its end knew the job.
+    // Whether a whole source holds the job.
     bool known_to_whole(const std::string& uid) const {
-        return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* s) {
-            return s->whole && (s->records.contains(scheduler::outcome_key(uid)) ||
-                                s->records.contains(scheduler::work_key(uid, 0)));
+        return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* source) {
+            return source->whole && (source->records.contains(scheduler::outcome_key(uid)) ||
+                                     source->records.contains(scheduler::work_key(uid, 0)));
         });
     }
 
+    // Adds what only the store holds.
     void add_stored(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
@@ -131,14 +135,15 @@
             if (out_.records.contains(key)) continue;
             if (!is_outcome_key(key)) {
                 const auto work = scheduler::parse_work_key(key);
-                // Set back, the service may show what had long been removed.
+                // A store that was set back may show what had long been removed.
                 if (!work || known_to_whole(work->uid)) continue;
             }
             out_.records.emplace(key, record.text);
         }
     }
 
-    void drop_finished_work() {
+    // Drops work of jobs that are done, and work whose first record no source holds: that submission is lost.
+    void drop_finished_and_orphaned_work() {
         std::set<std::string> lost;
         std::erase_if(out_.records, [&](const auto& entry) {
             const auto& key = entry.first;
--- a/src/recovery/record_follower.cpp
+++ b/src/recovery/record_follower.cpp
@@ -11,7 +11,7 @@
 using model::Clock;
 using state::Outcome;
 using state::RequestPriority;
-using Look = RecoveryCallbacks::Look;
+using OutcomeCoverage = RecoveryCallbacks::OutcomeCoverage;
 
 void RecordFollower::restart() {
     following_ = false;
@@ -64,7 +64,7 @@
         replica.apply_own_write({key, boost::json::parse(record.text), 0}, record.mod_revision);
     following_ = true;
     last_page_key_ = std::string();
-    context_.callbacks.outcomes({}, began, Look::after_a_gap);
+    context_.callbacks.outcomes({}, began, OutcomeCoverage::after_gap);
 }
 
 void RecordFollower::apply_changes(state::WatchResult seen, model::TimePoint began) {
@@ -81,7 +81,7 @@
     std::vector<state::KeyValue> outcomes;
     for (std::size_t i = 0; i < seen.events.size(); ++i)
         if (!seen.deleted[i] && is_outcome_key(seen.events[i].key)) outcomes.push_back(std::move(seen.events[i]));
-    context_.callbacks.outcomes(outcomes, began, Look::changes);
+    context_.callbacks.outcomes(outcomes, began, OutcomeCoverage::changes);
 }
 
 awaitable<void> RecordFollower::read_next_page() {
@@ -133,7 +133,7 @@
                               " jobs were on record at " + std::to_string(stored.revision) + ", and " +
                               std::to_string(present.outcomes) + " of " + std::to_string(replica.jobs()) + " are at " +
                               std::to_string(replica.revision()),
-                          Loss::beyond_memory);
+                          Loss::beyond_replica);
     return false;
 }
 
--- a/src/recovery/record_replica.hpp
+++ b/src/recovery/record_replica.hpp
@@ -1,5 +1,6 @@
-// What a controller remembers of the records of jobs, by following them: a source for rebuilding as good as a snapshot,
-// and as young as its last look. Outcomes, of which there are ever more, are kept in a few words each.
+// A controller's replica of the records of jobs, kept by following their changes: a source for rebuilding as good as a
+// snapshot, and as fresh as its last read. Outcomes, whose number only grows, are kept in compact form. It does no I/O;
+// RecordFollower feeds it.
 #pragma once
 #include <boost/unordered/unordered_flat_map.hpp>
 #include <optional>
@@ -11,40 +12,44 @@
 
 namespace flintdale::recovery {
 
-// Of outcomes that have no place of their own yet: older than anything that has.
+// The mod revision of deferred outcomes, which have no key of their own yet: older than any record that has one.
 inline constexpr std::uint64_t deferred_mod_revision = 1;
 
 class RecordReplica {
   public:
-    // Begins anew with a history, of which everything after that revision will be told. What was on record before comes
-    // in pages.
+    // Starts anew with a history, whose changes after that revision will follow. What was on record before comes in
+    // pages.
     void begin(std::uint64_t generation, std::string id, std::uint64_t revision);
-    // Takes over what a snapshot held, of a history that is no more.
+    // Takes over what a snapshot held, of a history that may be lost. The replica is not whole then.
     void load_snapshot(const ReplicaContents& snapshot);
 
-    // Part of what is on record, read after begin(); filled() once all has been.
+    // Part of what is on record, read after begin().
     void add_page(const std::vector<state::KeyValue>& items);
+    // All pages were added: from now on the replica is whole.
     void pages_complete();
-    // The changes up to that revision, in their order. Of what cannot have happened if nothing was lost the keys are
-    // told: an outcome that was removed, or work of a job without one.
+    // The changes up to that revision, in their order. Returns the keys of removals that cannot have happened unless
+    // data were lost: of an outcome, or of work of a job without one. Those are not applied.
     std::vector<std::string> apply_changes(const state::WatchResult& changes);
-    // A change that this controller itself has had acknowledged, which it may be told of later.
+    // A change of this controller that was acknowledged. The changes may show it later once more.
     void apply_own_write(const state::Change& change, std::uint64_t revision);
 
+    // Whether any record of the job is held.
     bool knows_job(const std::string& uid) const;
-    // Whether it is over, as far as is known.
-    bool is_over(const std::string& uid) const { return finals_.contains(uid); }
-    // Since when, by the time of day on record; nothing if that is not known.
+    // Whether the job is over, as far as the replica holds it.
+    bool is_over(const std::string& uid) const { return outcomes_.contains(uid); }
+    // Since when, in milliseconds since the epoch; nothing if that is not known.
     std::optional<std::int64_t> over_since_ms(const std::string& uid) const {
-        const auto it = finals_.find(uid);
-        return it == finals_.end() || !it->second.at ? std::nullopt : std::optional(it->second.at);
+        const auto it = outcomes_.find(uid);
+        return it == outcomes_.end() || !it->second.since_ms ? std::nullopt : std::optional(it->second.since_ms);
     }
+    // How a job ended, and its size.
     struct Outcome {
         model::JobState state = model::JobState::open;
         model::JobSize size;
     };
-    // Of a job that is remembered; `open` if it has none.
+    // Nothing if no record of the job is held; state `open` if it has no outcome.
     std::optional<Outcome> outcome_of(const std::string& uid) const;
+    // The record of a key, as JSON; nothing if it is not held.
     std::optional<Record> record(const std::string& key) const;
     // Machines that tasks of the job are placed on, by its records.
     std::set<std::string> machines_of(const std::string& uid) const;
@@ -54,40 +59,44 @@
         bool operator==(const Digest&) const = default;
     };
     Digest digest(std::uint64_t revision) const;
-    std::size_t jobs() const;  // open or over
-    // Of which at least so many were on record at that revision: what was written since may be known already.
+    // All jobs, open or over.
+    std::size_t jobs() const;
+    // At least how many of them were on record at that revision: what was written since may be held already.
     std::size_t jobs_at(std::uint64_t revision) const;
+    // Jobs without an outcome, in the order of their keys.
     std::vector<std::string> open_jobs() const;
-    // What is remembered now, for comparing it with the answer to a request that is sent now or later: nothing that
-    // becomes known while that is under way is held against it. Void once another history has begun.
+    // What the replica holds now, for comparing it with the answer to a request that is sent now or later: nothing that
+    // becomes known while the request is under way may be compared with it. Void once another history has begun.
     struct Mark {
         std::uint64_t history = 0, revision = 0;
     };
     Mark mark() const { return {history_, whole_ ? revision_ : 0}; }
     bool holds(const Mark& mark) const { return mark.history == history_; }
-    // Keys after `from` and up to `to` (empty: the last) that were remembered at the mark, are unchanged since, and are
-    // not among the items read there, or are there with an older or unreadable value. What is owed has no place yet.
-    // They may have been removed in good order since: an ConsistencyCheck looks at each again.
+    // Keys after `from` and up to `to` (empty: the last) that were held at the mark, are unchanged since, and are not
+    // among the items read there, or are there with an older or unreadable value. Deferred outcomes are left out. The
+    // keys may have been removed in good order since: ConsistencyCheck::recheck() reads each again.
     std::vector<std::string> missing_from(const Mark& mark, const std::string& from, const std::string& to,
                                           const std::vector<state::KeyValue>& items) const;
-    // The stamp under which the key must be on record, for all that is known; 0: it need not be there, for it is not
-    // remembered, or its job is over and it may be removed, or it is owed.
+    // The mod revision under which the key must be on record, as far as is known. 0 if it need not be there: it is not
+    // held, or its job is over and it may be removed, or it is deferred.
     std::uint64_t expected(const std::string& key) const;
-    // Whether it is remembered as it was: a value that was read damaged is kept as it is.
+    // Whether the held value is an intact record: a value that was read damaged is kept as it is.
     bool readable(const std::string& key) const;
+    // Holds everything that was on record at revision().
     bool whole() const { return whole_; }
     std::uint64_t generation() const { return generation_; }
     const std::string& id() const { return id_; }
     std::uint64_t revision() const { return revision_; }
-    std::size_t size() const { return work_.size() + finals_.size(); }
+    std::size_t size() const { return records_.size() + outcomes_.size(); }
 
-    // All that is remembered, or what changed after that revision.
+    // All that the replica holds, or what changed after that revision.
     ReplicaContents source(std::string from, std::uint64_t after = 0) const;
 
   private:
-    struct Final {
+    // An outcome in compact form.
+    struct CompactOutcome {
         std::uint64_t mod_revision = 0;
-        std::int64_t at = 0;
+        std::int64_t since_ms = 0;  // 0 if not known
         std::uint32_t tasks = 0;
         model::JobKind kind = model::JobKind::array;
         model::JobState state = model::JobState::open;
@@ -95,14 +104,16 @@
     void store(const std::string& key, const boost::json::value& value, std::uint64_t mod_revision);
     void erase(const std::string& key, std::uint64_t mod_revision);
     std::uint64_t mod_revision_of(const std::string& key) const;
-    static std::string text_of(const Final& final);
+    // The record in JSON that says the same.
+    static std::string text_of(const CompactOutcome& outcome);
 
-    std::uint64_t generation_ = 0, revision_ = 0, history_ = 0;
+    std::uint64_t generation_ = 0, revision_ = 0;
+    std::uint64_t history_ = 0;  // counts calls of begin(), for marks
     std::string id_;
     bool whole_ = false;
-    std::map<std::string, Record> work_;  // and outcomes that a few words cannot hold
-    boost::unordered_flat_map<std::string, Final> finals_;
-    std::map<std::string, std::uint64_t> removed_;  // while pages are still read: keys, and when
+    std::map<std::string, Record> records_;  // by key: work, and outcomes that have no compact form
+    boost::unordered_flat_map<std::string, CompactOutcome> outcomes_;  // by uid
+    std::map<std::string, std::uint64_t> removed_;  // while pages are still read: key -> mod revision of its removal
 };
 
 }  // namespace flintdale::recovery
--- a/src/recovery/record_restorer.cpp
+++ b/src/recovery/record_restorer.cpp
@@ -132,7 +132,7 @@
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::user);
         if (!context_.leadership.term) co_return false;
         if (result.outcome == Outcome::ok) {
-            context_.callbacks.outcomes({}, began, RecoveryCallbacks::Look::changes);
+            context_.callbacks.outcomes({}, began, RecoveryCallbacks::OutcomeCoverage::changes);
             co_return true;
         }
         if (lost_leadership(result)) co_return false;
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -10,7 +10,7 @@
 
 using model::Clock;
 using state::GenerationMarker;
-using Look = RecoveryCallbacks::Look;
+using OutcomeCoverage = RecoveryCallbacks::OutcomeCoverage;
 
 namespace {
 
@@ -87,9 +87,9 @@
     co_return true;
 }
 
-// Nobody can cancel anything before the records are whole again: if all replicas were heard, all cancellations are
+// Nobody can cancel anything before the records are whole again: if all replicas were gathered, all cancellations are
 // known.
-void RecordsRebuilder::pass_on_outcomes(const Merged& merged, bool all_replicas_heard) const {
+void RecordsRebuilder::pass_on_outcomes(const Merged& merged, bool all_replicas_gathered) const {
     std::vector<state::KeyValue> outcomes;
     for (const auto& [key, text] : merged.records) {
         if (!is_outcome_key(key)) continue;
@@ -99,7 +99,8 @@
         item.mod_revision = deferred_mod_revision;
         outcomes.push_back(std::move(item));
     }
-    context_.callbacks.outcomes(outcomes, Clock::now(), all_replicas_heard ? Look::all : Look::changes);
+    context_.callbacks.outcomes(outcomes, Clock::now(),
+                                all_replicas_gathered ? OutcomeCoverage::all : OutcomeCoverage::changes);
 }
 
 awaitable<std::optional<std::size_t>> RecordsRebuilder::restore_all(GenerationMarker marker, const Merged& merged,
--- a/src/recovery/records_rebuilder.hpp
+++ b/src/recovery/records_rebuilder.hpp
@@ -28,7 +28,7 @@
   private:
     awaitable<void> attempt(state::GenerationMarker marker);
     awaitable<bool> claim(state::GenerationMarker& marker);
-    void pass_on_outcomes(const Merged& merged, bool all_replicas_heard) const;
+    void pass_on_outcomes(const Merged& merged, bool all_replicas_gathered) const;
     // Until a read of the store shows nothing missing. Returns how many records were restored.
     awaitable<std::optional<std::size_t>> restore_all(state::GenerationMarker marker, const Merged& merged,
                                                       StoredRecords stored);
--- a/src/recovery/recovery_callbacks.hpp
+++ b/src/recovery/recovery_callbacks.hpp
@@ -18,13 +18,13 @@
     // The current term began before the loss and must end; another one has to be won.
     std::function<void(const char* why)> new_term;
     // How much the outcomes that are passed on cover.
-    enum class Look : std::uint8_t {
-        after_a_gap,  // changes may have been missed before this read
-        changes,      // changes since the read before
-        all,          // every outcome that any replica holds
+    enum class OutcomeCoverage : std::uint8_t {
+        after_gap,  // changes may have been missed before this read
+        changes,    // changes since the read before
+        all,        // every outcome that any replica holds
     };
     // A read of the outcomes, sent at `began`, returned these.
-    std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, Look look)> outcomes;
+    std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, OutcomeCoverage coverage)> outcomes;
     // The records are complete again, and may differ from those before.
     std::function<void()> rebuilt;
     // The highest term that this controller has seen.
--- a/src/recovery/recovery_context.cpp
+++ b/src/recovery/recovery_context.cpp
@@ -30,7 +30,7 @@
 
 void RecoveryContext::suspect_loss(std::string why, Loss loss) {
     if (records_lost) return;
-    suspicion.beyond_replica = suspicion.beyond_replica || loss == Loss::beyond_memory;
+    suspicion.beyond_replica = suspicion.beyond_replica || loss == Loss::beyond_replica;
     suspicion.records_only = suspicion.records_only && loss == Loss::records;
     guarded_store.close();
     if (!suspicion.why) {
@@ -54,7 +54,7 @@
     auto newest = replica.revision();
     for (const auto& [member, status] : peers)
         if (status.generation == replica.generation() && status.id == replica.id())
-            newest = std::max(newest, status.remembers);
+            newest = std::max(newest, status.complete_up_to);
     return newest;
 }
 
--- a/src/recovery/recovery_context.hpp
+++ b/src/recovery/recovery_context.hpp
@@ -29,24 +29,24 @@
 
 // What indicated that data were lost.
 enum class Loss : std::uint8_t {
-    records,        // single records that the replica holds are missing; the store's history went on
-    seen,           // any other sign of a loss
-    beyond_memory,  // more than the replica holds, so nobody may know where tasks were placed last
+    records,         // single records that the replica holds are missing; the store's history went on
+    detected,        // any other sign of a loss
+    beyond_replica,  // more than the replica holds, so nobody may know where tasks were placed last
 };
 
 // What a controller says of its replica to its peers.
 struct PeerRecordsStatus {
-    std::uint64_t generation = 0;  // of the replica's history, 0 if it has none
-    std::uint64_t remembers = 0;   // the revision up to which the replica is complete for peers, 0 if it is not
-    std::string id;                // of the replica's history
-    std::uint64_t rebuilding = 0;  // the generation that it sees being rebuilt, 0 if none
-    model::TimePoint heard{};      // when this status arrived
+    std::uint64_t generation = 0;      // of the replica's history, 0 if it has none
+    std::uint64_t complete_up_to = 0;  // the revision up to which peers may rely on the replica, 0 if they may not
+    std::string id;                    // of the replica's history
+    std::uint64_t rebuilding = 0;      // the generation that it sees being rebuilt, 0 if none
+    model::TimePoint received_at{};    // when this status arrived
 };
 
 // Signs of a loss that have not been resolved yet.
 struct LossSuspicion {
     std::optional<std::string> why;  // the first sign; absent while nothing is suspected
-    bool beyond_replica = false;     // some sign was Loss::beyond_memory
+    bool beyond_replica = false;     // some sign was Loss::beyond_replica
     bool records_only = true;        // all signs were Loss::records
 };
 
@@ -106,7 +106,7 @@
 
     bool loss_suspected() const { return suspicion.why.has_value(); }
     // Closes the guard until the marker has been read again. Ignored while the records are known to be lost.
-    void suspect_loss(std::string why, Loss loss = Loss::seen);
+    void suspect_loss(std::string why, Loss loss = Loss::detected);
     void clear_suspicion() { suspicion = {}; }
     // Reports that the store's revisions went back, to this one.
     void suspect_revision_rollback(std::uint64_t revision);
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -41,7 +41,7 @@
 }
 
 void RecoveryCoordinator::peer_status_received(const std::string& member, PeerRecordsStatus status) {
-    status.heard = Clock::now();
+    status.received_at = Clock::now();
     const auto generation = context_.whole_marker ? context_.whole_marker->generation : 0;
     if (status.rebuilding > generation && !context_.records_lost) {
         context_.marker_recheck = true;
@@ -55,7 +55,7 @@
     status.generation = context_.replica.generation();
     status.id = context_.replica.id();
     // Zero while this controller holds records that nobody else may know: see knows_all_jobs().
-    status.remembers = context_.late_records_added ? context_.replica.revision() : 0;
+    status.complete_up_to = context_.late_records_added ? context_.replica.revision() : 0;
     status.rebuilding = context_.records_lost ? context_.newest_known_generation() : 0;
     return status;
 }
@@ -65,8 +65,8 @@
     return context_.loss_suspected() ? State::loss_suspected : State::following;
 }
 
-// Somebody who was not heard when the records were rebuilt may know better, and adds it when he is back. Users who ask
-// meanwhile are asked to come again, but not for so long that a job which does exist counts as forgotten.
+// A controller that was out of reach when the records were rebuilt may hold more, and adds it when it is back. Users
+// who ask meanwhile are asked to come again, but not for so long that a job which does exist counts as forgotten.
 bool RecoveryCoordinator::knows_all_jobs() const {
     const auto& marker = context_.whole_marker;
     if (!marker || Clock::now() >= certain_at_) return true;
@@ -74,7 +74,7 @@
         if (member == context_.settings.member) return context_.replica.whole() && context_.late_records_added;
         const auto peer = context_.peers.find(member);
         return peer != context_.peers.end() && peer->second.generation == marker->generation &&
-               peer->second.remembers > 0;
+               peer->second.complete_up_to > 0;
     });
 }
 
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -48,7 +48,7 @@
     void term_won(election::Term term);
     void term_lost();
     // Something indicated that data were lost. The guarded store is closed until that is resolved.
-    void suspect_loss(std::string why, Loss loss = Loss::seen) { context_.suspect_loss(std::move(why), loss); }
+    void suspect_loss(std::string why, Loss loss = Loss::detected) { context_.suspect_loss(std::move(why), loss); }
     // An answer showed this key absent, or older than the replica holds it. The key is read again, and its record
     // restored if it and few others are lost.
     void record_missing(const std::string& key) { context_.record_missing(key); }
--- a/src/recovery/replica_offers.cpp
+++ b/src/recovery/replica_offers.cpp
@@ -155,7 +155,7 @@
 
 bool ReplicaOffers::must_wait_for(const std::string& member) const {
     const auto peer = context_.peers.find(member);
-    const bool alive = peer != context_.peers.end() && Clock::now() - peer->second.heard < peer_alive_for;
+    const bool alive = peer != context_.peers.end() && Clock::now() - peer->second.received_at < peer_alive_for;
     return alive || Clock::now() - context_.loss_noticed_at < min_wait;
 }
 
--- a/src/recovery/snapshot_file.cpp
+++ b/src/recovery/snapshot_file.cpp
@@ -23,9 +23,11 @@
 constexpr std::string_view magic = "flintdale-records-1\n";
 constexpr std::string_view ending = ".records";
 constexpr std::size_t page_records = 4096;
-constexpr std::size_t kept = 2;  // snapshots
+constexpr std::size_t kept_snapshots = 2;
+constexpr std::size_t frame_header_bytes = 4;  // the length of a page, little-endian
 const std::string header_key = "snapshot";
 
+// Closes the file when it goes out of scope.
 struct Descriptor {
     int fd = -1;
     ~Descriptor() {
@@ -45,8 +47,8 @@
 }
 
 std::string framed(const std::string& page) {
-    std::string out(4, '\0');
-    for (int i = 0; i < 4; ++i) out[static_cast<std::size_t>(i)] = static_cast<char>(page.size() >> (8 * i));
+    std::string out(frame_header_bytes, '\0');
+    for (std::size_t i = 0; i < frame_header_bytes; ++i) out[i] = static_cast<char>(page.size() >> (8 * i));
     return out + page;
 }
 
@@ -64,8 +66,8 @@
     return out;
 }
 
-// Throws unless the file is whole to its last byte.
-ReplicaContents read(const fs::path& path) {
+// The pages of a file. Throws if the last one is torn.
+std::vector<std::vector<wire::ArchivedRecord>> read_pages(const fs::path& path) {
     std::ifstream in(path, std::ios::binary);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
     std::string_view rest(bytes);
@@ -73,28 +75,36 @@
     rest.remove_prefix(magic.size());
     std::vector<std::vector<wire::ArchivedRecord>> pages;
     while (!rest.empty()) {
-        if (rest.size() < 4) throw wire::DecodeError("torn");
+        if (rest.size() < frame_header_bytes) throw wire::DecodeError("torn");
         std::size_t size = 0;
-        for (int i = 3; i >= 0; --i) size = size << 8 | static_cast<unsigned char>(rest[static_cast<std::size_t>(i)]);
-        rest.remove_prefix(4);
+        for (std::size_t i = frame_header_bytes; i-- > 0;) size = size << 8 | static_cast<unsigned char>(rest[i]);
+        rest.remove_prefix(frame_header_bytes);
         if (rest.size() < size) throw wire::DecodeError("torn");
         pages.push_back(wire::decode_archive(rest.substr(0, size)));
         rest.remove_prefix(size);
     }
+    return pages;
+}
+
+// Throws unless the file is whole to its last byte.
+ReplicaContents read(const fs::path& path) {
+    auto pages = read_pages(path);
     if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key) throw wire::DecodeError("no header");
     const auto header = wire::parse_object(pages[0][0].text);
     if (header.at("pages").to_number<std::size_t>() + 1 != pages.size()) throw wire::DecodeError("torn");
-    ReplicaContents out;
-    out.from = "snapshot " + path.filename().string();
-    out.generation = header.at("generation").to_number<std::uint64_t>();
-    out.revision = header.at("revision").to_number<std::uint64_t>();
-    out.id = std::string(header.at("id").as_string());
+    ReplicaContents contents;
+    contents.from = "snapshot " + path.filename().string();
+    contents.generation = header.at("generation").to_number<std::uint64_t>();
+    contents.revision = header.at("revision").to_number<std::uint64_t>();
+    contents.id = std::string(header.at("id").as_string());
     for (std::size_t i = 1; i < pages.size(); ++i)
-        for (auto& r : pages[i]) out.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
-    return out;
+        for (auto& record : pages[i])
+            contents.records.emplace(std::move(record.key), Record{record.mod_revision, std::move(record.text)});
+    return contents;
 }
 
-void write(const fs::path& path, const ReplicaContents& source) {
+// Packs the records in pages.
+std::vector<std::string> encode_snapshot_pages(const ReplicaContents& source) {
     std::vector<std::string> pages;
     std::vector<wire::ArchivedRecord> page;
     const auto flush = [&] {
@@ -106,6 +116,11 @@
         if (page.size() == page_records) flush();
     }
     flush();
+    return pages;
+}
+
+void write(const fs::path& path, const ReplicaContents& source) {
+    const auto pages = encode_snapshot_pages(source);
     const boost::json::object header{
         {"generation", source.generation}, {"revision", source.revision}, {"id", source.id}, {"pages", pages.size()}};
     const std::array first{wire::ArchivedRecord{header_key, 0, boost::json::serialize(header)}};
@@ -113,7 +128,7 @@
     if (file.fd < 0) fail("open");
     write_all(file.fd, magic);
     write_all(file.fd, framed(wire::encode_archive(first)));
-    for (const auto& p : pages) write_all(file.fd, framed(p));
+    for (const auto& page : pages) write_all(file.fd, framed(page));
     if (::fsync(file.fd) != 0) fail("fsync");
 }
 
@@ -129,7 +144,7 @@
         const Descriptor dir{::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
         if (dir.fd < 0 || ::fsync(dir.fd) != 0) fail("fsync of the directory");
         const auto all = snapshots(directory_);
-        for (std::size_t i = kept; i < all.size(); ++i) fs::remove(all[i]);
+        for (std::size_t i = kept_snapshots; i < all.size(); ++i) fs::remove(all[i]);
         return true;
     } catch (const std::exception& e) {
         spdlog::error("event=snapshot_failed directory={} why=\"{}\"", directory_.string(), e.what());
--- a/src/recovery/snapshot_file.hpp
+++ b/src/recovery/snapshot_file.hpp
@@ -1,4 +1,4 @@
-// Snapshots of what a controller remembers, in a directory of its machine. Off unless the operator names one.
+// Snapshots of a controller's replica, in a directory of its machine. Off unless the operator names one.
 #pragma once
 #include <filesystem>
 #include <optional>
@@ -13,10 +13,11 @@
     explicit SnapshotFile(std::filesystem::path directory = {}) : directory_(std::move(directory)) {}
 
     bool in_use() const { return !directory_.empty(); }
-    // Writes it beside the former one, which is removed only when this one is whole on the disk: a crash at any moment,
-    // or a disk that is full, leaves the former. False, with a line in the log, if it could not be written.
+    // Writes a snapshot beside the previous one, which is removed only when this one is whole on the disk: a crash at
+    // any moment, or a disk that is full, leaves the previous one. False, with a line in the log, if it could not be
+    // written.
     bool put(const ReplicaContents& source);
-    // The newest that is whole; nothing if there is none.
+    // The newest snapshot that is whole; nothing if there is none.
     std::optional<ReplicaContents> newest() const;
 
   private:
--- a/tests/recovery_simulation_test.cpp
+++ b/tests/recovery_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Losses of data in the emulated world: three whole controllers, two dozen machines, users, and a checker of the rules.
+// Losses of data in simulations: three whole controllers, two dozen machines, users, and a checker of the rules.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char* world = R"(
+constexpr const char* base_scenario = R"(
 [world]
 members = ["one", "two", "three"]
 member_zones = ["a", "b", "c"]
@@ -95,13 +95,14 @@
 cancelled = 0.1
 )";
 
-struct Kind {
+// A fault of the scenario file: the settings of one or more "troubles".
+struct Fault {
     const char* name;
-    const char* trouble;
+    const char* settings;
 };
 
 // What is lost, at 50 s.
-constexpr Kind losses[] = {
+constexpr Fault losses[] = {
     {"wipe", "kind = \"wipe\"\nat_s = 50"},
     {"set_back", "kind = \"set_back\"\nseconds = 15\nat_s = 50"},
     {"jobs_gone", "kind = \"lose\"\nprefix = \"jobs/\"\nat_s = 50"},
@@ -111,7 +112,7 @@
 };
 
 // What goes wrong beside it, several machines among it.
-constexpr Kind beside[] = {
+constexpr Fault beside[] = {
     {"leader_alive", "kind = \"machines_die\"\nshare = 0.15\nat_s = 45"},
     {"leader_ends",
      "kind = \"crash\"\nlasts_s = 3\nat_s = 50.4\n[[troubles]]\nkind = \"machines_hang\"\nshare = 0.2\n"
@@ -126,32 +127,32 @@
      "lasts_s = 5\nat_s = 50.3"},
 };
 
-simulator::Outcome play(const std::string& troubles, std::uint64_t seed) {
+simulator::Outcome simulate(const std::string& faults, std::uint64_t seed) {
     spdlog::set_level(spdlog::level::off);
-    std::string text = world;
-    if (!troubles.empty()) text += "[[troubles]]\n" + troubles + "\n";
+    std::string text = base_scenario;
+    if (!faults.empty()) text += "[[troubles]]\n" + faults + "\n";
     const auto scenario = simulator::parse_scenario(text, "story");
     return simulator::Simulation(scenario, seed).play();
 }
 
-std::string broken(const simulator::Outcome& o) {
+std::string broken_rules(const simulator::Outcome& outcome) {
     std::string out;
-    for (const auto& [rule, first] : o.first) out += rule + " at " + first + "; ";
+    for (const auto& [rule, first] : outcome.first) out += rule + " at " + first + "; ";
     return out;
 }
 
-struct DataLossTest : ::testing::TestWithParam<std::tuple<Kind, Kind>> {};
+struct DataLossTest : ::testing::TestWithParam<std::tuple<Fault, Fault>> {};
 
 }  // namespace
 
 TEST_P(DataLossTest, EveryRuleHoldsRunningWorkContinuesAndAllAreServed) {
     const auto& [lost, also] = GetParam();
-    const auto o = play(std::string(lost.trouble) + "\n[[troubles]]\n" + also.trouble, 3);
-    EXPECT_EQ(broken(o), "");
-    EXPECT_GT(o.accepted, 20u);
-    for (const auto& [name, share] : o.served) EXPECT_GE(share, 0.5) << name;
-    for (const auto& [name, share] : o.team_served) EXPECT_GE(share, 0.5) << name;
-    EXPECT_GT(o.undisturbed, 0.8);
+    const auto outcome = simulate(std::string(lost.settings) + "\n[[troubles]]\n" + also.settings, 3);
+    EXPECT_EQ(broken_rules(outcome), "");
+    EXPECT_GT(outcome.accepted, 20u);
+    for (const auto& [name, share] : outcome.served) EXPECT_GE(share, 0.5) << name;
+    for (const auto& [name, share] : outcome.team_served) EXPECT_GE(share, 0.5) << name;
+    EXPECT_GT(outcome.undisturbed, 0.8);
 }
 
 INSTANTIATE_TEST_SUITE_P(Each, DataLossTest,
@@ -161,34 +162,34 @@
                          });
 
 TEST(DataLossSimulationTest, AfterAWipePlacementContinuesWithinSecondsAndNoTaskIsStopped) {
-    const auto o = play("kind = \"wipe\"\nat_s = 50", 1);
-    EXPECT_EQ(broken(o), "");
-    EXPECT_EQ(o.rebuilt, 1u);
-    EXPECT_EQ(o.undisturbed, 1);
-    EXPECT_EQ(o.lease_kills, 0u);
-    EXPECT_LT(o.placing_after, 20);
-    EXPECT_LT(o.answers_after, 10);
+    const auto outcome = simulate("kind = \"wipe\"\nat_s = 50", 1);
+    EXPECT_EQ(broken_rules(outcome), "");
+    EXPECT_EQ(outcome.rebuilt, 1u);
+    EXPECT_EQ(outcome.undisturbed, 1);
+    EXPECT_EQ(outcome.lease_kills, 0u);
+    EXPECT_LT(outcome.placing_after, 20);
+    EXPECT_LT(outcome.answers_after, 10);
 }
 
 // The rules table of docs/rebuilding.md: with no memory left jobs are lost, and nothing else may be wrong.
 TEST(DataLossSimulationTest, JobsThatNobodyRemembersAreForgottenAndNothingRunsTwice) {
-    const auto o =
-        play("kind = \"crash\"\nnode = \"all\"\nlasts_s = 3\nat_s = 50\n[[troubles]]\nkind = \"wipe\"\nat_s = 51", 2);
-    EXPECT_GT(o.forgotten, 0u);
-    for (const auto& [rule, n] : o.broken) EXPECT_EQ(rule, "forgotten") << o.first.at(rule);
+    const auto outcome = simulate(
+        "kind = \"crash\"\nnode = \"all\"\nlasts_s = 3\nat_s = 50\n[[troubles]]\nkind = \"wipe\"\nat_s = 51", 2);
+    EXPECT_GT(outcome.forgotten, 0u);
+    for (const auto& [rule, n] : outcome.broken) EXPECT_EQ(rule, "forgotten") << outcome.first.at(rule);
 }
 
 TEST(DataLossSimulationTest, DeclaresNoLossWithoutOne) {
-    const auto quiet = play("", 5);
-    EXPECT_EQ(broken(quiet), "");
+    const auto quiet = simulate("", 5);
+    EXPECT_EQ(broken_rules(quiet), "");
     EXPECT_EQ(quiet.losses, 0u);
-    const auto troubled = play(
+    const auto troubled = simulate(
         "kind = \"crash\"\nnode = \"all\"\nlasts_s = 3\nat_s = 40\n[[troubles]]\nkind = \"cut_state\"\nlasts_s = "
         "12\nat_s = 60\n"
         "[[troubles]]\nkind = \"freeze\"\nlasts_s = 8\nat_s = 80\n[[troubles]]\nkind = \"machines_die\"\nshare = "
         "0.3\nat_s = 82",
         5);
-    EXPECT_EQ(broken(troubled), "");
+    EXPECT_EQ(broken_rules(troubled), "");
     EXPECT_EQ(troubled.rebuilt, 0u);
 }
 
@@ -196,7 +197,7 @@
 
 namespace {
 
-constexpr Kind back_at_once[] = {
+constexpr Fault back_at_once[] = {
     {"the_leader_ends", "kind = \"crash\"\nlasts_s = 0.05\nat_s = 50"},
     {"all_end_in_one_tenth_of_a_second", "kind = \"crash\"\nnode = \"all\"\nlasts_s = 0.05\nat_s = 50"},
     {"each_ends_five_times_in_ten_seconds",
@@ -212,24 +213,24 @@
      "kind = \"end_claims\"\nat_s = 50\n[[troubles]]\nkind = \"crash\"\nlasts_s = 0\nat_s = 50.02"},
 };
 
-struct ImmediateRestartTest : ::testing::TestWithParam<std::tuple<Kind, double>> {};
+struct ImmediateRestartTest : ::testing::TestWithParam<std::tuple<Fault, double>> {};
 
 }  // namespace
 
 // What the former life had under way arrives late, a third of the machines dies a moment later.
 TEST_P(ImmediateRestartTest, EveryRuleHoldsAndNobodyIsLeftBehind) {
     const auto& [ends, late] = GetParam();
-    std::string text = world;
+    std::string text = base_scenario;
     const std::string warm = "warm = 24\n";
     text.replace(text.find(warm), warm.size(), warm + fmt::format("late = {}\n", late));
-    text += std::string("[[troubles]]\n") + ends.trouble +
+    text += std::string("[[troubles]]\n") + ends.settings +
             "\n[[troubles]]\nkind = \"machines_die\"\nshare = 0.33\nat_s = 56\n";
     spdlog::set_level(spdlog::level::off);
     const auto scenario = simulator::parse_scenario(text, "back at once");
-    const auto o = simulator::Simulation(scenario, 7).play();
-    EXPECT_EQ(broken(o), "");
-    EXPECT_GT(o.accepted, 20u);
-    EXPECT_TRUE(o.left_behind.empty()) << o.left_behind.front();
+    const auto outcome = simulator::Simulation(scenario, 7).play();
+    EXPECT_EQ(broken_rules(outcome), "");
+    EXPECT_GT(outcome.accepted, 20u);
+    EXPECT_TRUE(outcome.left_behind.empty()) << outcome.left_behind.front();
 }
 
 INSTANTIATE_TEST_SUITE_P(Each, ImmediateRestartTest,
@@ -240,10 +241,10 @@
                          });
 
 TEST(ImmediateRestartSimulationTest, WorkContinuesInPlaceWhenAllControllersRestartAtOnce) {
-    const auto o = play("kind = \"crash\"\nnode = \"all\"\nlasts_s = 0.05\nat_s = 50", 3);
-    EXPECT_EQ(broken(o), "");
-    EXPECT_EQ(o.lease_kills, 0u);
-    for (const auto& [name, who] : o.classes) EXPECT_LT(who.longest_idle, 15) << name;
+    const auto outcome = simulate("kind = \"crash\"\nnode = \"all\"\nlasts_s = 0.05\nat_s = 50", 3);
+    EXPECT_EQ(broken_rules(outcome), "");
+    EXPECT_EQ(outcome.lease_kills, 0u);
+    for (const auto& [name, who] : outcome.classes) EXPECT_LT(who.longest_idle, 15) << name;
 }
 
 // What is damaged ends no process: it is set aside, or put back, wherever it is read, and a controller that begins anew
@@ -253,51 +254,51 @@
     double at = 30;
     for (const char* prefix : {"jobs/work/", "jobs/over/", "members/", "lead/", "notes/", "fleet/", "recovery/"})
         troubles += fmt::format("\n[[troubles]]\nkind = \"garble\"\nprefix = \"{}\"\nat_s = {}", prefix, at += 6);
-    const auto o = play(troubles, 6);
-    EXPECT_EQ(broken(o), "");
-    EXPECT_GT(o.done, 5u);
+    const auto outcome = simulate(troubles, 6);
+    EXPECT_EQ(broken_rules(outcome), "");
+    EXPECT_GT(outcome.done, 5u);
 }
 
-// With the version that held late answers against what was known when they came, five of these eight worlds declared a
-// loss (docs/incidents/loss-without-a-loss.md).
+// With the version that held late answers against what was known when they came, five of these eight simulations
+// declared a loss (docs/incidents/loss-without-a-loss.md).
 TEST(DataLossSimulationTest, DeclaresNoLossWhenResponsesAreDelayed) {
-    std::string text = world;
+    std::string text = base_scenario;
     const std::string warm = "warm = 24\n";
     text.replace(text.find(warm), warm.size(),
                  warm + "slow = 0.06\nslowest_s = 2.5\nlate = 0.01\ndrawn = 4\nrestart_s = [0.05, 6.0]\n");
     spdlog::set_level(spdlog::level::off);
     const auto scenario = simulator::parse_scenario(text, "late");
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        const auto o = simulator::Simulation(scenario, seed).play();
-        EXPECT_EQ(broken(o), "") << seed;
-        EXPECT_EQ(o.rebuilt, 0u) << seed;
-        EXPECT_GT(o.accepted, 15u) << seed;
+        const auto outcome = simulator::Simulation(scenario, seed).play();
+        EXPECT_EQ(broken_rules(outcome), "") << seed;
+        EXPECT_EQ(outcome.rebuilt, 0u) << seed;
+        EXPECT_GT(outcome.accepted, 15u) << seed;
     }
 }
 
 // All controllers end after the records came back, so that only what is on record can answer.
 TEST(DataLossSimulationTest, SingleRecordsAreRestoredWithoutAnOutageAndOutliveAllReplicas) {
     for (const char* prefix : {"jobs/over/run-0", "jobs/work/run-0"}) {
-        const auto o =
-            play(fmt::format("kind = \"lose\"\nprefix = \"{}\"\nat_s = 50\n[[troubles]]\nkind = \"crash\"\n"
-                             "node = \"all\"\nlasts_s = 0.2\nat_s = 75\n[[troubles]]\nkind = \"machines_die\"\n"
-                             "share = 0.2\nat_s = 60",
-                             prefix),
-                 4);
-        EXPECT_EQ(broken(o), "") << prefix;
-        EXPECT_GT(o.lost_keys, 0u) << prefix;
-        EXPECT_EQ(o.rebuilt, 0u) << prefix << ": nothing was closed";
-        EXPECT_EQ(o.lease_kills, 0u) << prefix;
-        for (const auto& [name, share] : o.served) EXPECT_GE(share, 0.5) << name;
+        const auto outcome =
+            simulate(fmt::format("kind = \"lose\"\nprefix = \"{}\"\nat_s = 50\n[[troubles]]\nkind = \"crash\"\n"
+                                 "node = \"all\"\nlasts_s = 0.2\nat_s = 75\n[[troubles]]\nkind = \"machines_die\"\n"
+                                 "share = 0.2\nat_s = 60",
+                                 prefix),
+                     4);
+        EXPECT_EQ(broken_rules(outcome), "") << prefix;
+        EXPECT_GT(outcome.lost_keys, 0u) << prefix;
+        EXPECT_EQ(outcome.rebuilt, 0u) << prefix << ": nothing was closed";
+        EXPECT_EQ(outcome.lease_kills, 0u) << prefix;
+        for (const auto& [name, share] : outcome.served) EXPECT_GE(share, 0.5) << name;
     }
 }
 
 TEST(DataLossSimulationTest, SameSeedGivesTheSameResult) {
     const char* troubles =
         "kind = \"set_back\"\nseconds = 9\nat_s = 50\n[[troubles]]\nkind = \"crash\"\nlasts_s = 3\nat_s = 55";
-    const auto once = simulator::to_line(play(troubles, 11));
-    EXPECT_EQ(once, simulator::to_line(play(troubles, 11)));
-    EXPECT_NE(once, simulator::to_line(play(troubles, 12)));
+    const auto once = simulator::to_line(simulate(troubles, 11));
+    EXPECT_EQ(once, simulator::to_line(simulate(troubles, 11)));
+    EXPECT_NE(once, simulator::to_line(simulate(troubles, 12)));
 }
 
 TEST(ScenarioTest, NamesWhatIsWrongInAScenario) {
@@ -311,7 +312,7 @@
     };
     EXPECT_NE(complaint("x = ").find("line 1"), std::string::npos);
     EXPECT_NE(complaint("[cluster]\n").find("world"), std::string::npos);
-    auto text = std::string(world);
+    auto text = std::string(base_scenario);
     EXPECT_EQ(complaint(text), "");
     EXPECT_NE(complaint(text + "[[jobs]]\nclass = \"x\"\nteam = \"red\"\nshape = \"heap\"\n").find("heap"),
               std::string::npos);
