--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -110,10 +110,9 @@
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
     callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
     callbacks.new_term = [this](const char* why) { elector_.restart_term(why); };
-    using Look = recovery::RecoveryCoordinator::Callbacks::Look;
-    callbacks.outcomes = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began, Look look) {
-        outcomes_read(outcomes, began, look);
-    };
+    using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
+    callbacks.outcomes = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
+                                OutcomeCoverage coverage) { outcomes_read(outcomes, began, coverage); };
     callbacks.rebuilt = [this] { records_rebuilt(); };
     callbacks.seen_term = [this] { return elector_.term(); };
     callbacks.incarnation = incarnation_;
@@ -171,16 +170,16 @@
 // --- events that concern several parts ---
 
 void Controller::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
-                               recovery::RecoveryCoordinator::Callbacks::Look look) {
-    using Look = recovery::RecoveryCoordinator::Callbacks::Look;
-    if (look == Look::after_a_gap) follower_leases_.lost_track(Clock::now());
+                               recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage coverage) {
+    using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
+    if (coverage == OutcomeCoverage::after_gap) follower_leases_.lost_track(Clock::now());
     follower_leases_.watched(outcomes, began);
     // After the records were rebuilt these are all outcomes there are: a user who is told of one of them again notes it
     // then.
     for (const auto& item : outcomes)
-        if (look != Look::all && scheduler::is_cancelled(item))
+        if (coverage != OutcomeCoverage::all && scheduler::is_cancelled(item))
             cancellation_learned(item.key.substr(item.key.rfind('/') + 1));
-    if (look == Look::all) follower_leases_.knows_all(began);
+    if (coverage == OutcomeCoverage::all) follower_leases_.knows_all(began);
 }
 
 void Controller::records_rebuilt() {
@@ -214,7 +213,7 @@
     const auto newest_known = std::max(term.previous, recovery_.recovered_in_term());
     if (elector_.leading() && recovery_.ready() && token > newest_known && token < term.number)
         recovery_.suspect_loss("a worker has seen a term that is not on record",
-                               recovery::RecoveryCoordinator::Loss::beyond_memory);
+                               recovery::RecoveryCoordinator::Loss::beyond_replica);
 }
 
 // --- the other controllers ---
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -70,7 +70,7 @@
     void begin_term(election::Term term, bool unrecorded_tasks);
     void end_term();
     void outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
-                       recovery::RecoveryCoordinator::Callbacks::Look look);
+                       recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage coverage);
     void records_rebuilt();
     void quota_changed(const quota::Table& table);
     void cancellation_learned(const std::string& uid);
--- a/src/app/leader_term_adapters.cpp
+++ b/src/app/leader_term_adapters.cpp
@@ -3,7 +3,7 @@
 namespace flintdale::app {
 
 void ReplicatedRecords::suspect_loss(const char* why) {
-    recovery_.suspect_loss(why, recovery::RecoveryCoordinator::Loss::beyond_memory);
+    recovery_.suspect_loss(why, recovery::RecoveryCoordinator::Loss::beyond_replica);
 }
 
 }  // namespace flintdale::app
