--- a/bench/leader_bench.cpp
+++ b/bench/leader_bench.cpp
@@ -1,5 +1,5 @@
-// What the leader's mind costs as fleets and queues grow, without network or state service: a report, a pass of
-// placing, a round of renting, and the hand-over's load. Arguments: machines, waiting tasks.
+// What the scheduler costs as fleets and queues grow, without network or store: a heartbeat, a placement pass, a
+// scale-out round, and the load after a failover. Arguments: machines, waiting tasks.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
@@ -47,7 +47,7 @@
                                   "bench");
 }
 
-// A leader that has heard its fleet, of which each machine runs four tasks of arrays, and a queue of arrays and gangs
+// A leader whose fleet has reported, of which each machine runs four tasks of arrays, and a queue of arrays and gangs
 // that fit nowhere now.
 struct Fleet {
     static constexpr std::uint32_t per_machine = 4, per_job = 40;
@@ -67,7 +67,7 @@
         for (std::size_t j = 0; at < machines * per_machine; ++j) add_placed(j, at);
         for (std::size_t n = 0, j = 0; n < waiting; n += per_job, ++j) add_waiting(j);
         elect();
-        hear();
+        report_all();
         for (int i = 0; i < 3; ++i) leader->place(now += 500ms);  // what found no room merges into one queue
     }
 
@@ -134,7 +134,7 @@
         }
         return r;
     }
-    void hear() {
+    void report_all() {
         now += 10s;
         for (std::size_t i = 0; i < names.size(); ++i) leader->handle_heartbeat(report(i, 1), now);
     }
--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -5,22 +5,27 @@
 
 namespace flintdale::fleet {
 
+namespace {
+constexpr int max_doublings = 4;                // of the pause after refused requests
+constexpr std::chrono::seconds first_pause{4};  // doubled with every refusal, the first included
+}  // namespace
+
 void Machine::used_image(const Image& image, double cache_gb) {
     std::erase_if(images, [&](const Image& e) { return e.id == image.id; });
     images.push_back(image);
-    double held = 0;
-    for (const auto& e : images) held += e.gb;
-    while (images.size() > 1 && held > cache_gb) {
-        held -= images.front().gb;
+    double cached_gb = 0;
+    for (const auto& e : images) cached_gb += e.gb;
+    while (images.size() > 1 && cached_gb > cache_gb) {
+        cached_gb -= images.front().gb;
         images.erase(images.begin());
     }
     update_row();
 }
 
 model::Seconds Machine::again(model::Seconds boot) const {
-    double held_gb = 0;
-    for (const auto& image : images) held_gb += image.gb;
-    return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? held_gb / row.fetch_gb_per_s : 0));
+    double cached_gb = 0;
+    for (const auto& image : images) cached_gb += image.gb;
+    return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? cached_gb / row.fetch_gb_per_s : 0));
 }
 
 double Machine::in_use() const {
@@ -150,7 +155,7 @@
 void MachineInventory::recall(std::vector<wire::MachineHint> notes) {
     for (auto& note : notes) {
         if (gone(note.name)) continue;
-        // How much a machine's cache holds is known with its type.
+        // The size of a machine's cache is known once its type is.
         if (auto* m = find(note.name); m && !m->type.empty())
             apply(note, *m);
         else
@@ -158,18 +163,18 @@
     }
 }
 
-// What this leader has seen itself is newer than what was noted.
+// What this leader knows itself is newer than the hint: its images count as used later.
 void MachineInventory::apply(const wire::MachineHint& note, Machine& m) {
-    const auto seen = std::exchange(m.images, {});
+    const auto known = std::exchange(m.images, {});
     for (const auto& image : note.images) m.used_image({directory_.image(image.name), image.gb}, cache_gb(m));
-    for (const auto& image : seen) m.used_image(image, cache_gb(m));
+    for (const auto& image : known) m.used_image(image, cache_gb(m));
     m.quarantined = m.quarantined || note.quarantined;
 }
 
 void MachineInventory::refused(const Pool& pool, TimePoint now) {
-    auto& b = back_off_[pool];
-    b.times = std::min(b.times + 1, 4);
-    b.until = now + std::chrono::seconds(4 << b.times);
+    auto& back_off = back_off_[pool];
+    back_off.times = std::min(back_off.times + 1, max_doublings);
+    back_off.until = now + first_pause * (1 << back_off.times);
 }
 
 bool MachineInventory::open(const Pool& pool, TimePoint now) const {
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -6,8 +6,8 @@
 namespace flintdale::placement {
 
 namespace {
-constexpr Seconds image_step{5};
-constexpr double slack = 1e-6;  // amounts are decimal fractions; sums of them are not exact
+constexpr Seconds image_step{5};  // waits for an image are compared in such steps
+constexpr double slack = 1e-6;    // amounts are decimal fractions; sums of them are not exact
 }  // namespace
 
 unsigned slots(const Resources& need, const Resources& capacity) {
@@ -75,7 +75,7 @@
 
 Planner::Trial::~Trial() {
     plan_.trial_ = nullptr;
-    // Backwards: the oldest copy of a row is the one to go back to.
+    // Backwards: the oldest copy of a row is the one to restore.
     for (auto it = before_.rbegin(); it != before_.rend(); ++it) plan_.hosts_[it->first] = std::move(it->second);
 }
 
@@ -101,8 +101,8 @@
     hosts_[i].capacity = hosts_[i].free = {-1, -1, -1};
 }
 
-// Rows without room are dropped from the list on the way, so that in a full fleet a scan costs what is free and not
-// what exists. Room only shrinks in a plan, but for trials, and during one nothing is dropped.
+// Rows without room are dropped from the list during the scan, so that in a full fleet a scan costs as much as is free
+// and not as much as exists. In a plan room only shrinks, except in trials, and during a trial nothing is dropped.
 template <class F>
 void Planner::each_roomy(const Resources& need, F visit) const {
     if (need.gpus <= slack && need.cpus <= slack) {
@@ -146,11 +146,10 @@
         if (const auto i = find(slot); i != none) excluded_[i] = epoch_;
 }
 
-// Urgent tasks shun machines that may be taken away: a chain whose tasks ran there lost a minute with each that had to
-// start anew. The job's own machines come first, then, for tasks without accelerators, those that have the fewest free,
-// then those where its image is there soonest (in coarse steps, so that load still counts), then spot ones, which not
-// every job may use, then the least loaded. Services stay for good, so they go to large machines and leave whole small
-// ones to gangs.
+// Urgent tasks avoid spot machines: a chain of dependent jobs lost a minute with each task that had to start again. The
+// job's own machines come first, then, for tasks without accelerators, those that have the fewest free, then those that
+// have its image soonest (in coarse steps, so that load still counts), then spot ones, which not every job may use,
+// then the least loaded. Services stay for good, so they go to large machines and leave whole small ones to gangs.
 Planner::Score Planner::score(const Ask& ask, std::size_t i) const {
     const auto& h = hosts_[i];
     Score o;
@@ -195,8 +194,8 @@
     return best;
 }
 
-// All candidates are put in order once. To place a task changes the order of its own machine alone, and otherwise
-// only takes candidates away (by the job's zones), which shows when their turn comes.
+// All candidates are ordered once. Placing a task changes the score of its own machine alone, and otherwise only
+// removes candidates (by the job's zones), which is checked when their turn comes.
 std::vector<std::size_t> Planner::place_many(const Ask& ask, JobHosts& job, std::size_t count,
                                              std::optional<Id> only_zone) {
     std::vector<std::size_t> out;
@@ -258,7 +257,7 @@
         Trial trial(*this);
         out.places = place_many(ask, trial_job, count, zone);
         if (out.places.size() < count) out.places.clear();
-        // Rows as they were before: what was placed there first had to wait longest.
+        // The rows as they were before: the task placed there first waits longest.
         for (const auto& [i, before] : trial.before_)
             out.wait = std::max(out.wait, before.image_wait(ask.image, ask.spec->image_gb));
         return out;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,4 +1,4 @@
-// What one leader leaves to the next, and who looks after workers while there is none.
+// What one leader hands over to the next, and how workers are kept alive while there is none.
 #include "model/heartbeat.hpp"
 #include "model/job.hpp"
 #include "model/task.hpp"
@@ -186,19 +186,19 @@
     const auto notes = w.leader->inventory().notes();
     ASSERT_EQ(notes.size(), 1u);
     EXPECT_EQ(notes[0].name, "n-000002");
-    for (const bool told : {false, true}) {
+    for (const bool with_hints : {false, true}) {
         w.elect();
         for (auto* m : {&m1, &m2})
             for (int i = 0; i < 2; ++i) w.heartbeat(*m);
-        if (told) w.leader->inventory().recall(notes);
+        if (with_hints) w.leader->inventory().recall(notes);
         auto next = first;
-        next.uid = told ? "run-3" : "run-2";
+        next.uid = with_hints ? "run-3" : "run-2";
         w.accept(next);
         w.settle();
         w.heartbeat(m1);
         w.heartbeat(m2);
         ASSERT_TRUE(w.place());
-        EXPECT_EQ(w.machine_of(next.uid, 0), told ? "n-000002" : "n-000001");
+        EXPECT_EQ(w.machine_of(next.uid, 0), with_hints ? "n-000002" : "n-000001");
         w.cancel(next.uid);
     }
 }
@@ -223,7 +223,7 @@
     spec.accepted_ms = w.wall_ms;
     w.accept(spec);
     w.elect();
-    EXPECT_EQ(w.leader->job("run-1")->arrived, w.now) << "where the time of day is not told";
+    EXPECT_EQ(w.leader->job("run-1")->arrived, w.now) << "where the time of day is not given";
     for (const std::int64_t at : {w.wall_ms + 90'000, w.wall_ms - 5'000}) {
         Scheduler next(w.settings, w.operator_settings, w.record_format, 99, 1, w.now);
         next.set_machine_types(types());
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -200,7 +200,7 @@
     elect();
     accept(job("run-1", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
-    accept(after("run-2", {"run-1"}));  // heard of before the cancellation
+    accept(after("run-2", {"run-1"}));  // known before the cancellation
     settle();
     meet(m1);
     place();
--- /dev/null
+++ b/tests/scheduler_cancellation_test.cpp
@@ -0,0 +1,125 @@
+// Cancelled work is gone before the cancel deadline.
+#include "scheduler/lease_rule.hpp"
+#include "support/scheduler_fixture.hpp"
+
+namespace flintdale::test {
+
+using model::JobKind;
+
+TEST_F(SchedulerTest, CancelledTasksAreKilledAndIntentsNeverRun) {
+    elect();
+    start(job("run-1", JobKind::array, 2), {&m1});
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    const auto commands = heartbeat(m1);
+    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 0));
+    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 1));
+
+    accept(job("run-2", JobKind::array, 1));
+    settle();
+    heartbeat(m1);
+    ASSERT_TRUE(place());
+    ASSERT_TRUE(cancel("run-2"));
+    tell("run-2");
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
+    commit();
+    EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "nothing of a cancelled job stays open";
+}
+
+TEST_F(SchedulerTest, NoPlacementIsRecordedForAJobCancelledElsewhere) {
+    elect();
+    accept(job("run-1", JobKind::array, 1));
+    settle();
+    report_twice(m1);
+    ASSERT_TRUE(cancel("run-1"));  // by another controller; the leader does not know
+    place();
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+}
+
+TEST_F(SchedulerTest, LeaderCutOffFromTheStoreStopsAnsweringInTime) {
+    const auto known = now;
+    const auto room = settings.cancel_deadline - settings.worker_lease;  // a task dies a lease after the last answer
+    EXPECT_TRUE(scheduler::may_answer(settings, known + 10s, known));
+    EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room), known));
+    EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room - Seconds(3)), known));
+}
+
+// Found by the simulator: a machine hung, the store was unreachable, and the leader after the outage counted the time
+// from the beginning of its own term. A machine that hangs does not end its work when its lease has expired.
+TEST_F(SchedulerTest, LateLeaderGivesUpAHangingMachineBeforeTheDeadline) {
+    elect();
+    start(job("run-1", JobKind::array, 2), {&m1});
+    ASSERT_TRUE(cancel("run-1"));
+    pass(settings.cancel_deadline - 9s);
+    elect();
+    leader->job_over("run-1", now, settings.cancel_deadline - 9s);
+    heartbeat(m2);
+    EXPECT_TRUE(returns().empty()) << "it may only be late";
+    pass(settings.heartbeat_interval * 1.25 + 1100ms);
+    heartbeat(m2);
+    EXPECT_EQ(returns(), std::vector<std::string>{m1.name});
+}
+
+TEST_F(SchedulerTest, UnreachableMachineWithCancelledWorkIsReleasedInTime) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    std::vector<Worker> others;
+    for (int i = 10; i < 14; ++i) others.push_back(machine("n-0000" + std::to_string(i), "a"));
+    for (auto& w : others) report_twice(w);
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    // All machines fall silent at once, which otherwise buys them patience.
+    std::vector<std::string> going;
+    const auto cancelled_at = now;
+    while (going.empty() && now < cancelled_at + model::to_clock(settings.cancel_deadline)) {
+        pass(1s);
+        going = returns();
+    }
+    ASSERT_FALSE(going.empty());
+    EXPECT_LT(now, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
+    EXPECT_EQ(going.front(), "n-000001");
+}
+
+// One call to the cloud takes a hundred machines, and in an outage only those with cancelled work may be released. In a
+// simulation 250 machines hung, and those with cancelled work came after a hundred others.
+TEST_F(SchedulerTest, HundredsOfSilentMachinesDoNotDelayOneWithCancelledWork) {
+    elect();
+    auto last = machine("n-900000", "a");
+    start(job("run-1", JobKind::array, 1), {&last});
+    std::vector<Worker> silent, others;
+    for (int i = 0; i < 120; ++i) silent.push_back(machine("n-" + std::to_string(100000 + i), "a"));
+    for (int i = 0; i < 300; ++i) others.push_back(machine("n-" + std::to_string(200000 + i), "a"));
+    for (auto& w : silent) report_twice(w);
+    for (auto& w : others) report_twice(w);
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    const auto cancelled_at = now;
+    std::optional<TimePoint> named, first;
+    for (; now < cancelled_at + model::to_clock(settings.cancel_deadline); pass(1s)) {
+        for (auto& w : others) heartbeat(w);
+        const auto going = leader->scale_in(now);
+        EXPECT_LE(going.size(), 100u);
+        if (!first && !going.empty()) first = now;
+        for (const auto& r : going)
+            if (r.machine == last.name && r.why == scheduler::cancelled_work && !named) named = now;
+    }
+    ASSERT_TRUE(first) << "the silent ones are to be returned as well";
+    ASSERT_TRUE(named);
+    EXPECT_LT(*named, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
+}
+
+// A machine with a termination notice that falls silent need not be gone; it may hang.
+TEST_F(SchedulerTest, SilentMachineWithATerminationNoticeIsReleasedForItsCancelledWork) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    m1.termination_notice = Seconds(5);
+    leader->handle_heartbeat(m1.report(), now);
+    pass(Seconds(settings.cancel_deadline * 0.6));
+    const auto going = leader->scale_in(now);
+    ASSERT_EQ(going.size(), 1u);
+    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
+}
+
+}  // namespace flintdale::test
--- /dev/null
+++ b/tests/scheduler_gang_test.cpp
@@ -0,0 +1,146 @@
+// Gangs: placed together, restarted together.
+#include "model/task.hpp"
+#include "support/scheduler_fixture.hpp"
+
+namespace flintdale::test {
+
+using model::ExitReason;
+using model::JobKind;
+
+// Found by the simulator, seed 6027: the process crashed. One member of a gang reported that it was done, the other was
+// lost with its worker's lease before it could report.
+TEST_F(SchedulerTest, GangWithADoneMemberPlacesOnlyTheOthersAgain) {
+    elect();
+    accept(job("run-1", JobKind::gang, 2));
+    state::Txn txn;
+    auto record = keys.get("jobs/work/run-1").value.as_object();
+    record["tasks"] = wire::ranges_to_record({{0, 0, 1, "", false}, {1, 1, 1, "", true}});
+    txn.changes.push_back({"jobs/work/run-1", record, 0});
+    keys.commit(txn);
+    elect();
+    report_twice(m1);
+    for (int i = 0; i < 3; ++i) {
+        settle();
+        heartbeat(m1);
+        place();
+        const auto* gang = leader->job("run-1");
+        if (!gang) break;  // done, and on record
+        EXPECT_EQ(gang->placed + gang->done, 2u);
+        EXPECT_EQ(gang->waiting(), 0u);
+        EXPECT_GE(gang->done, 1u);
+    }
+}
+
+TEST_F(SchedulerTest, GangTaskLostBeforeTheStartIsReplacedUnderTheSameAttempt) {
+    elect();
+    auto third = machine("n-000003", "b");
+    auto gang = job("run-1", JobKind::gang, 2);
+    gang.need = {8, 2, 40};  // a whole machine each
+    accept(gang);
+    settle();
+    report_twice(m1);
+    EXPECT_FALSE(place()) << "all or none";
+    report_twice(m2);
+    ASSERT_TRUE(place());
+    heartbeat(m1);
+    heartbeat(m2);
+    leader->machines_released({"n-000002"}, now);
+    report_twice(third);
+    ASSERT_TRUE(place());
+    const auto& tasks = leader->job("run-1")->tasks;
+    EXPECT_EQ(tasks[0].attempt, 1u);
+    EXPECT_EQ(tasks[1].attempt, 1u);
+}
+
+TEST_F(SchedulerTest, NewGangAttemptWaitsUntilTheOldOneIsGone) {
+    elect();
+    auto third = machine("n-000003", "a");
+    auto gang = job("run-1", JobKind::gang, 2);
+    gang.need = {8, 2, 40};
+    start(gang, {&m1, &m2});
+    ASSERT_TRUE(leader->job("run-1")->gang_started);
+    leader->machines_released({"n-000002"}, now);
+    report_twice(third);
+    m2 = machine("n-000004", "b");
+    report_twice(m2);
+    EXPECT_FALSE(place()) << "n-000001 still holds a task of the first attempt";
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", machine_of("run-1", 0) == "n-000001" ? 0 : 1));
+    heartbeat(m1);
+    ASSERT_TRUE(place());
+    EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
+    EXPECT_EQ(leader->job("run-1")->tasks[1].attempt, 2u);
+}
+
+// On slow networks some members of a gang have their image a minute before others. Killing the whole attempt when the
+// first gave up waiting repeatedly discarded the fetches of the slow ones: it took 350 s until a gang started.
+TEST_F(SchedulerTest, GangMemberThatGaveUpWaitingKeepsItsPlaceUntilOthersHaveTheirImage) {
+    elect();
+    auto gang = job("run-1", JobKind::gang, 2);
+    gang.need = {8, 2, 40};
+    accept(gang);
+    settle();
+    report_twice(m1);
+    report_twice(m2);
+    ASSERT_TRUE(place());
+    heartbeat(m1);
+    heartbeat(m2);
+    const auto on_m1 = m1.tasks.at(0).id.index, on_m2 = m2.tasks.at(0).id.index;
+    m1.find("run-1", on_m1)->status = TaskStatus::waiting;
+    heartbeat(m1);
+    heartbeat(m2);
+    m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
+    heartbeat(m1);
+    EXPECT_TRUE(heartbeat(m2).empty()) << "it still fetches";
+    EXPECT_EQ(machine_of("run-1", on_m1), "n-000001");
+    m2.find("run-1", on_m2)->status = TaskStatus::waiting;
+    heartbeat(m2);
+    commit();
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", on_m1));
+    const auto commands = heartbeat(m2);
+    ASSERT_EQ(commands.size(), 2u);
+    EXPECT_EQ(commands[0].type, CommandType::kill);
+    EXPECT_EQ(commands[0].attempt, 1u);
+    EXPECT_EQ(commands[1].type, CommandType::run);
+    EXPECT_EQ(commands[1].attempt, 2u);
+    EXPECT_EQ(leader->job("run-1")->parked, 0u);
+}
+
+// scenarios/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept stayed empty
+// for over 90 s beside tasks that would have fitted.
+TEST_F(SchedulerTest, GangPlaceIsNotKeptForMembersThatFindNone) {
+    elect();
+    auto gang = job("run-1", JobKind::gang, 2);
+    gang.need = {8, 2, 40};
+    accept(gang);
+    settle();
+    report_twice(m1);
+    report_twice(m2);
+    ASSERT_TRUE(place());
+    heartbeat(m1);
+    heartbeat(m2);
+    const auto on_m1 = m1.tasks.at(0).id.index;
+    m1.find("run-1", on_m1)->status = TaskStatus::waiting;
+    heartbeat(m1);
+    m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
+    heartbeat(m1);
+    leader->machines_released({"n-000002"}, now);
+    auto other = job("run-2", JobKind::array, 1);
+    other.need = {8, 2, 40};
+    accept(other);
+    settle();
+    pass(Seconds(20));
+    heartbeat(m1);
+    leader->relocate(now);
+    EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other may find a place soon";
+    pass(Seconds(15));
+    heartbeat(m1);
+    leader->relocate(now);
+    EXPECT_EQ(machine_of("run-1", on_m1), "");
+    EXPECT_EQ(leader->job("run-1")->parked, 0u);
+    commit();
+    heartbeat(m1);
+    ASSERT_TRUE(place());
+    EXPECT_EQ(machine_of("run-2", 0), "n-000001");
+}
+
+}  // namespace flintdale::test
--- /dev/null
+++ b/tests/scheduler_heartbeat_test.cpp
@@ -0,0 +1,227 @@
+// Heartbeats and what they prove: leases, late copies, delayed answers.
+#include <algorithm>
+
+#include "model/task.hpp"
+#include "support/scheduler_fixture.hpp"
+
+namespace flintdale::test {
+
+using model::ExitReason;
+using model::JobKind;
+
+TEST_F(SchedulerTest, SilentMachinesTaskStartsElsewhereOnlyAfterItsRelease) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    ASSERT_EQ(machine_of("run-1", 0), "n-000001");
+    for (int i = 0; i < 20; ++i) {  // a minute without a word from n-000001, far beyond its lease
+        pass(3s);
+        heartbeat(m2);
+        place();
+        ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
+    }
+    const auto going = returns();
+    ASSERT_EQ(std::count(going.begin(), going.end(), "n-000001"), 1);
+    ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
+    leader->machines_released({"n-000001"}, now);
+    ASSERT_TRUE(place());
+    EXPECT_EQ(machine_of("run-1", 0), "n-000002");
+    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now)) << "a late report of a released machine is not believed";
+}
+
+TEST_F(SchedulerTest, NextLeaderFindsTheIntentOfOneThatDiedBeforeItsRunCommand) {
+    elect();
+    accept(job("run-1", JobKind::array, 1));
+    settle();
+    report_twice(m1);
+    ASSERT_TRUE(place());  // on record for n-000001, and then the leader is gone
+    auto& next = elect();
+    settle();
+    report_twice(m2);
+    EXPECT_FALSE(place()) << "the task may be on n-000001";
+    auto commands = heartbeat(m1);
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
+    commands = heartbeat(m1);
+    EXPECT_TRUE(ordered(commands, CommandType::run, "run-1", 0));
+    EXPECT_EQ(next.count("run-1")->done, 0u);
+}
+
+TEST_F(SchedulerTest, LostResponseIsRepeatedAndALateHeartbeatIgnored) {
+    elect();
+    accept(job("run-1", JobKind::array, 1));
+    settle();
+    report_twice(m1);
+    ASSERT_TRUE(place());
+    const auto old_report = m1.report();
+    ASSERT_TRUE(ordered(heartbeat(m1, false), CommandType::run, "run-1", 0));
+    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
+    heartbeat(m1);
+    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "a report from before must not undo what is known";
+    EXPECT_EQ(machine_of("run-1", 0), "n-000001");
+    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+}
+
+TEST_F(SchedulerTest, NewIncarnationIsEvidenceThatTasksAreGone) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    m1.lose_lease();
+    heartbeat(m1);
+    EXPECT_EQ(machine_of("run-1", 0), "");
+    ASSERT_TRUE(place());
+    EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
+}
+
+TEST_F(SchedulerTest, TasksOnSilentMachinesStillCountAgainstTheQuota) {
+    elect();
+    auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
+    first.team = "limited";
+    start(first, {&m1});
+    ASSERT_EQ(leader->job("run-1")->placed, 2u);
+    auto second = job("run-2", JobKind::array, 1);
+    second.team = "limited";
+    accept(second);
+    for (int i = 0; i < 20; ++i) {
+        pass(3s);
+        heartbeat(m2);
+        EXPECT_FALSE(place());
+    }
+    leader->machines_released({"n-000001"}, now);
+    EXPECT_TRUE(place());
+    EXPECT_LE(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
+}
+
+// Found by the simulator: a leader that gives up a placement before its run command was carried out records that some
+// seconds later, and places another task there at once. If it ends in between, the next one reads both placements.
+TEST_F(SchedulerTest, AbandonedPlacementIsNotStartedByTheNextLeader) {
+    elect();
+    auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
+    first.team = "limited";
+    report_twice(m1);
+    accept(first);
+    settle();
+    heartbeat(m1);
+    ASSERT_TRUE(place());
+    ASSERT_EQ(leader->job("run-1")->placed, 2u);
+    auto second = job("run-2", JobKind::array, 2);
+    second.team = "limited";
+    accept(second);
+    // What is on record at that moment of the first job, which is given up, and of the second, which took its place.
+    state::Txn txn;
+    auto record = keys.get("jobs/work/run-2").value.as_object();
+    record["tasks"] = wire::ranges_to_record({{0, 1, 1, m2.name, false}});
+    txn.changes.push_back({"jobs/work/run-2", record, 0});
+    keys.commit(txn);
+    elect();
+    ASSERT_EQ(leader->job("run-1")->placed + leader->job("run-2")->placed, 4u);
+    for (const std::uint32_t i : {0u, 1u}) {
+        model::TaskReport t;
+        t.id = {"run-2", i};
+        t.attempt = 1;
+        t.status = TaskStatus::running;
+        m2.tasks.push_back(t);
+    }
+    heartbeat(m1);
+    const auto commands = heartbeat(m1);
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0));
+    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 1));
+    heartbeat(m2);
+    heartbeat(m2);
+    EXPECT_EQ(leader->job("run-2")->running, 2u);
+    settle();
+    EXPECT_FALSE(place());
+    EXPECT_EQ(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
+}
+
+// Found by scenarios/meeting.toml, seed 1738: the first heartbeat that a new leader receives from a machine is a copy
+// from an earlier incarnation.
+TEST_F(SchedulerTest, CopyOfAHeartbeatFromAnEarlierIncarnationIsNoEvidence) {
+    elect();
+    report_twice(m1);
+    const auto copy = m1.report();
+    m1.lose_lease();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    ASSERT_EQ(machine_of("run-1", 0), m1.name);
+    elect();
+    leader->handle_heartbeat(copy, now);
+    heartbeat(m1);
+    EXPECT_EQ(machine_of("run-1", 0), m1.name)
+        << "it runs there, in the incarnation that this leader learns of only now";
+    heartbeat(m1);
+    EXPECT_EQ(machine_of("run-1", 0), m1.name);
+    // A session that ends under this term is evidence.
+    m1.lose_lease();
+    heartbeat(m1);
+    EXPECT_EQ(machine_of("run-1", 0), "");
+}
+
+// In a large fleet some machine is always gone; waiting the whole round for it cost seconds in every failover.
+TEST_F(SchedulerTest, NewLeaderPlacesWhenNearlyAllMachinesWithWorkHaveReported) {
+    elect();
+    auto whole = job("run-1", JobKind::array, 20);
+    whole.need = {8, 2, 40};
+    accept(whole);
+    settle();
+    std::vector<Worker> workers;
+    for (int i = 0; i < 20; ++i)
+        workers.push_back(machine("n-00010" + std::string(1, static_cast<char>('a' + i)), "a"));
+    for (auto& w : workers) report_twice(w);
+    ASSERT_TRUE(place());
+    accept(job("run-2", JobKind::array, 1));
+    elect();
+    report_twice(m1);  // it has room, and no work on record
+    for (int i = 0; i < 18; ++i) heartbeat(workers[static_cast<std::size_t>(i)]);
+    EXPECT_FALSE(place());
+    heartbeat(workers[18]);
+    EXPECT_TRUE(place());
+    EXPECT_EQ(machine_of("run-2", 0), "n-000001");
+}
+
+// Commands travel in answers only. Where a heartbeat makes room, its own answer may still carry the next run command.
+TEST_F(SchedulerTest, DelayedResponseCarriesNewPlacementsUnlessANewerHeartbeatCame) {
+    using Prospect = scheduler::Scheduler::Prospect;
+    elect();
+    start(job("run-1", JobKind::array, 2), {&m1});  // fills the machine
+    accept(job("run-2", JobKind::array, 1));
+    settle();
+    heartbeat(m1);
+    EXPECT_FALSE(place());
+    m1.finish("run-1", 0, ExitReason::done);
+    const auto report = m1.report();
+    ASSERT_TRUE(leader->handle_heartbeat(report, now)->empty());
+    const auto passes = leader->passes();
+    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_plan);
+    ASSERT_TRUE(leader->place(now));
+    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_write);
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "not on record yet";
+    commit();
+    const auto newer = m1.report();
+    leader->handle_heartbeat(newer, now);
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "that answer would come too late";
+    EXPECT_EQ(leader->expected_work(newer, passes), Prospect::nothing) << "the newer report's answer has it";
+}
+
+TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
+    elect();
+    accept(job("run-1", JobKind::array, 1));
+    settle();
+    report_twice(m1);
+    const auto report = m1.report();
+    leader->handle_heartbeat(report, now);
+    ASSERT_TRUE(place());
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    EXPECT_TRUE(leader->pending_runs(report).empty());
+}
+
+// inc-d158: a leader was paused for 40 s, then found every machine silent and released them all, while its successor
+// was using them.
+TEST_F(SchedulerTest, PausedLeaderDoesNotBlameTheMachines) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    pass(40s);
+    leader->process_paused(40s);
+    EXPECT_TRUE(returns().empty());
+    pass(40s);
+    EXPECT_FALSE(returns().empty()) << "real silence still counts";
+}
+
+}  // namespace flintdale::test
--- /dev/null
+++ b/tests/scheduler_scaling_test.cpp
@@ -0,0 +1,150 @@
+// Which machines are requested and released.
+#include "model/machine.hpp"
+#include "support/scheduler_fixture.hpp"
+
+namespace flintdale::test {
+
+using model::JobKind;
+
+// The call may go unanswered, and the store be unreachable by then: the reason is still that the machine runs cancelled
+// work.
+TEST_F(SchedulerTest, UnansweredReleaseIsRequestedAgainForTheSameReason) {
+    elect();
+    start(job("run-1", JobKind::array, 1), {&m1});
+    ASSERT_TRUE(cancel("run-1"));
+    tell("run-1");
+    pass(Seconds(settings.cancel_deadline * 0.6));
+    auto going = leader->scale_in(now);
+    ASSERT_EQ(going.size(), 1u);
+    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
+    leader->release_requested(going);
+    pass(2s);
+    going = leader->scale_in(now);
+    ASSERT_EQ(going.size(), 1u);
+    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
+}
+
+// A new leader counted the initial machines as spare for a long time, and released 66 before the first job.
+TEST_F(SchedulerTest, SpareMachinesGoOnlyAfterBeingSpareForAWhileUnderThisLeader) {
+    elect();
+    std::vector<Worker> workers;
+    for (int i = 0; i < 20; ++i)
+        workers.push_back(machine("n-00010" + std::string(1, static_cast<char>('a' + i)), "a"));
+    const auto all_report = [&] {
+        for (auto& w : workers)
+            if (!leader->inventory().gone(w.name)) heartbeat(w);
+    };
+    all_report();
+    leader->relocate(now);
+    EXPECT_TRUE(returns().empty());
+    for (int i = 0; i < 9; ++i) {  // 27 s, less than a boot
+        pass(3s);
+        all_report();
+        leader->relocate(now);
+    }
+    EXPECT_TRUE(returns().empty());
+    for (int i = 0; i < 3; ++i) {
+        pass(3s);
+        all_report();
+        leader->relocate(now);
+    }
+    EXPECT_FALSE(returns().empty());
+}
+
+TEST_F(SchedulerTest, UnexpectedMachineIsUsedOrReturned) {
+    elect();
+    report_twice(m1);  // a late rental of a leader that is gone
+    settle();
+    accept(job("run-1", JobKind::array, 1));
+    settle();
+    heartbeat(m1);
+    EXPECT_TRUE(place());
+    auto idle = machine("n-000009", "a");
+    report_twice(idle);
+    for (int i = 0; i < 40; ++i) {
+        pass(3s);
+        heartbeat(idle);
+        heartbeat(m1);
+    }
+    EXPECT_EQ(returns(), std::vector<std::string>{"n-000009"});
+}
+
+// inc-8739, inc-e02a: a leader that lost the workers alone released the whole fleet, and launched it again.
+TEST_F(SchedulerTest, LeaderWithoutHeartbeatsKeepsTheFleetUntilAnotherMayLead) {
+    elect();
+    std::vector<Worker> all;
+    for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
+    for (auto& w : all) report_twice(w);
+    EXPECT_FALSE(leader->heartbeat_coverage(now).cut_off_from_workers());
+    pass(settings.heartbeat_interval * 1.25 + 2s);
+    EXPECT_TRUE(leader->heartbeat_coverage(now).cut_off_from_workers())
+        << "and that is soon, for every lease is running out";
+    accept(job("run-1", JobKind::array, 40));
+    for (const auto later = now + model::to_clock(settings.worker_lease * 2); now < later; pass(1s)) {
+        EXPECT_TRUE(returns().empty());
+        EXPECT_TRUE(leader->scale_out(now).empty()) << "what is needed is a hearing, not machines";
+    }
+}
+
+// With a zone cut off for 30 s, half the fleet was released 5 s before it could report again.
+TEST_F(SchedulerTest, ManySilentButListedMachinesGetTheListLag) {
+    settings.machine_list_lag = Seconds(10);
+    elect();
+    std::vector<Worker> all;
+    for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), i < 4 ? "a" : "b"));
+    for (auto& w : all) report_twice(w);
+    const auto cut = now;
+    while (now < cut + 60s && returns().empty()) {
+        pass(1s);
+        for (std::size_t k = 0; k < 3; ++k) heartbeat(all[k]);
+    }
+    EXPECT_GT(now, cut + 40s);
+    EXPECT_LT(now, cut + 50s);
+}
+
+// Machines that the leader before had released stayed in the records, and because they were many their successor waited
+// a lease for each of them.
+TEST_F(SchedulerTest, ManySilentUnlistedMachinesAreGivenUpAtOnce) {
+    elect();
+    std::vector<Worker> all;
+    std::vector<model::ListedMachine> list;
+    for (int i = 1; i < 7; ++i) {
+        all.push_back(machine("n-00000" + std::to_string(i), "a"));
+        if (i < 4)
+            list.push_back({all.back().name, "", "small", "a", false, model::MachineStatus::running, Seconds(60)});
+    }
+    for (auto& w : all) report_twice(w);
+    for (int i = 0; i < 5; ++i) {  // half of them say nothing any more
+        pass(3s);
+        for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
+    }
+    EXPECT_TRUE(returns().empty()) << "so many at once are rather out of reach than dead";
+    leader->machines_listed(list, now);
+    EXPECT_EQ(returns(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
+}
+
+// Tasks that waited for machines that were late or never came up waited in vain.
+TEST_F(SchedulerTest, OverdueMachineIsNotCountedOnAndItsPoolIsTheSecondChoice) {
+    elect();
+    auto wanted = job("run-1", JobKind::gang, 3);
+    wanted.one_zone = true;
+    wanted.need = {8, 2, 40};  // a whole small machine each
+    accept(wanted);
+    const auto commands = leader->scale_out(now);
+    ASSERT_EQ(commands.size(), 1u);
+    ASSERT_EQ(commands[0].count, 3);
+    leader->machines_launched(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
+    pass(Seconds(45));
+    EXPECT_TRUE(leader->scale_out(now).empty()) << "they may take half as long again as usual";
+    pass(Seconds(5));
+    const auto again = leader->scale_out(now);
+    ASSERT_FALSE(again.empty());
+    EXPECT_NE(again[0].pool, commands[0].pool);
+    for (const auto* name : {"n-000001", "n-000002", "n-000003"}) {  // late, but there
+        auto w = machine(name, commands[0].pool.zone, commands[0].pool.type);
+        report_twice(w);
+    }
+    EXPECT_TRUE(place());
+}
+
+}  // namespace flintdale::test
