--- a/scenarios/bench/show.py
+++ b/scenarios/bench/show.py
@@ -1,55 +1,95 @@
 #!/usr/bin/env python3
-"""Shows from a day's log that the meeting came about: show.py LOG (of a run with --log debug)
+"""Shows from a day's log that the combination of faults came about: show.py LOG (of a run with --log debug)
 
 (a) when the leader was refused, and until when it still answered workers; (b) which cancellations others confirmed while it
 could not read them, and how many tasks of those jobs were on machines; (c) from when to when the service was down for all;
 (d) when the last task of each such job was seen to go, against the confirmation. Exits with 1 where one of them did not happen.
 """
-import re, sys
-
-trouble = re.compile(r"^ *at ([0-9.]+) s: (.*)")
-line = re.compile(r"\s*([0-9.]+) (\S+) \S+ level=\w+ member=\S+ event=(\w+)(.*)")
-leaders, refused, outages, seen_by, running, cancelled = [], None, [], {}, {}, []
-for l in open(sys.argv[1], errors="replace"):
-    m = line.match(l)
-    if not m:
-        m = trouble.search(l)
-        if m and ("refuses" in m[2] or "loses the state service" in m[2]):
-            refused = refused or (float(m[1]), m[2])
-        elif m and "state service has trouble" in m[2]:
-            outages.append(float(m[1]))
-        continue
-    at, who, event, rest = float(m[1]), m[2], m[3], m[4]
-    if event == "elected":
-        leaders.append((at, who))
-    elif event == "cancel_accepted":
-        job = re.search(r"job=(\S+)", rest)[1]
-        cancelled.append((at, who, job, {t: float("inf") for t in running.get(job, ())}))
-    elif event in ("task_started", "task_exited", "task_lost"):
-        task = re.search(r"task=(\S+)", rest)[1]
+import re
+import sys
+
+FAULT_LINE = re.compile(r"^ *at ([0-9.]+) s: (.*)")
+EVENT_LINE = re.compile(r"\s*([0-9.]+) (\S+) \S+ level=\w+ member=\S+ event=(\w+)(.*)")
+NOT_SEEN = float("inf")
+ANSWERS_END_AFTER_S = 80  # after the outage began, an answer of the old leader does not count
+
+
+class Cancellation:
+    """A confirmed cancellation, with the time at which each running task of the job was seen to go."""
+
+    def __init__(self, at, member, job, running_tasks):
+        self.at, self.member, self.job = at, member, job
+        self.gone_at = {task: NOT_SEEN for task in running_tasks}
+
+    def longest_s(self):
+        return max(self.gone_at.values()) - self.at
+
+
+class Log:
+    """What a log tells of leaders, faults, cancellations and tasks."""
+
+    def __init__(self, lines):
+        self.elections, self.refused, self.outages, self.cancellations = [], None, [], []
+        self.task_events_by_member, self.running = {}, {}
+        for line in lines:
+            event = EVENT_LINE.match(line)
+            if event:
+                self.add_event(float(event[1]), event[2], event[3], event[4])
+            else:
+                self.add_fault(FAULT_LINE.search(line))
+
+    def add_fault(self, fault):
+        if not fault:
+            return
+        at, what = float(fault[1]), fault[2]
+        if "refuses" in what or "loses the state service" in what:
+            self.refused = self.refused or (at, what)
+        elif "state service has trouble" in what:
+            self.outages.append(at)
+
+    def add_event(self, at, member, event, fields):
+        if event == "elected":
+            self.elections.append((at, member))
+        elif event == "cancel_accepted":
+            job = re.search(r"job=(\S+)", fields)[1]
+            self.cancellations.append(Cancellation(at, member, job, self.running.get(job, ())))
+        elif event in ("task_started", "task_exited", "task_lost"):
+            self.add_task_event(at, member, event, re.search(r"task=(\S+)", fields)[1])
+
+    def add_task_event(self, at, member, event, task):
         job = task.split("/")[0]
-        seen_by.setdefault(who, []).append(at)
+        self.task_events_by_member.setdefault(member, []).append(at)
         if event == "task_started":
-            running.setdefault(job, set()).add(task)
-            continue
-        running.get(job, set()).discard(task)
-        for _, _, other, on in cancelled:
-            if other == job and on.get(task) == float("inf"):
-                on[task] = at
-if not refused or not outages:
-    sys.exit("show: no refusal or no outage in this log")
-down = outages[-1]
-old = [w for t, w in leaders if t < refused[0]][-1]
-print(f"(a) {old} leads; {refused[0]:.1f} s: {refused[1]}; it last took news of a worker at "
-      f"{max((t for t in seen_by.get(old, [0]) if t < down + 80), default=0):.1f} s; elected later: "
-      f"{[(round(t, 1), w) for t, w in leaders if t > refused[0]]}")
-rows = [(job, at, who, len(on), max(on.values()) - at) for at, who, job, on in cancelled
-        if on and refused[0] <= at <= down + 1 and who != old]
-print(f"(b) {len(rows)} jobs with tasks on machines cancelled through others between {refused[0]:.1f} and {down:.1f} s, "
-      f"{sum(r[3] for r in rows)} tasks")
-print(f"(c) down for all from {down:.1f} s")
-for job, at, who, n, took in rows:
-    print(f"(d) {job}: confirmed by {who} at {at:.2f} s, {n} tasks, the last was seen to be gone after {took:.1f} s")
-if rows:
-    print(f"longest: {max(r[4] for r in rows):.1f} s")
-sys.exit(0 if rows else 1)
+            self.running.setdefault(job, set()).add(task)
+            return
+        self.running.get(job, set()).discard(task)
+        for cancellation in self.cancellations:
+            if cancellation.job == job and cancellation.gone_at.get(task) == NOT_SEEN:
+                cancellation.gone_at[task] = at
+
+
+def main():
+    log = Log(open(sys.argv[1], errors="replace"))
+    if not log.refused or not log.outages:
+        sys.exit("show: no refusal or no outage in this log")
+    refused_at, refusal = log.refused
+    down = log.outages[-1]
+    old = [member for at, member in log.elections if at < refused_at][-1]
+    last_event = max((at for at in log.task_events_by_member.get(old, [0]) if at < down + ANSWERS_END_AFTER_S), default=0)
+    later = [(round(at, 1), member) for at, member in log.elections if at > refused_at]
+    print(f"(a) {old} leads; {refused_at:.1f} s: {refusal}; it last took news of a worker at "
+          f"{last_event:.1f} s; elected later: {later}")
+    shown = [c for c in log.cancellations if c.gone_at and refused_at <= c.at <= down + 1 and c.member != old]
+    print(f"(b) {len(shown)} jobs with tasks on machines cancelled through others between {refused_at:.1f} and {down:.1f} s, "
+          f"{sum(len(c.gone_at) for c in shown)} tasks")
+    print(f"(c) down for all from {down:.1f} s")
+    for c in shown:
+        print(f"(d) {c.job}: confirmed by {c.member} at {c.at:.2f} s, {len(c.gone_at)} tasks, "
+              f"the last was seen to be gone after {c.longest_s():.1f} s")
+    if shown:
+        print(f"longest: {max(c.longest_s() for c in shown):.1f} s")
+    sys.exit(0 if shown else 1)
+
+
+if __name__ == "__main__":
+    main()
