--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -258,7 +258,7 @@
     CoordinatorOnFakeStore service("hearth-0", "hearth-1");
     const auto written = changes_in("loss_and_rebuilding.txt");
     service.put({marker_change(markers().at(0))});
-    service.put(only(written, recovery::deferred_outcomes_prefix));
+    service.put(only(written, recovery::deferred_prefix));
     service.put(only(written, recovery::unsettled_key));
     service.start();
     service.pass(1);
