--- a/src/api/known_jobs.cpp
+++ b/src/api/known_jobs.cpp
@@ -8,16 +8,16 @@
 
 using model::JobState;
 
-std::optional<KnownJob> known_from(const state::KeyValue& record) {
+std::optional<KnownJob> job_from_record(const state::KeyValue& record) {
     try {
-        const auto& o = record.value.as_object();
-        KnownJob out;
-        if (const auto* state = o.if_contains("state"))
-            out.state = wire::job_state_from(std::string_view(state->as_string()));
-        out.size = wire::size_from_record(o);
-        if (const auto* spec = o.if_contains("spec"); spec && !out.over())
-            out.dependencies = wire::spec_from_record(spec->as_object()).dependencies;
-        return out;
+        const auto& fields = record.value.as_object();
+        KnownJob job;
+        if (const auto* state = fields.if_contains("state"))
+            job.state = wire::job_state_from(std::string_view(state->as_string()));
+        job.size = wire::size_from_record(fields);
+        if (const auto* spec = fields.if_contains("spec"); spec && !job.over())
+            job.dependencies = wire::spec_from_record(spec->as_object()).dependencies;
+        return job;
     } catch (const std::exception& e) {
         spdlog::error("event=record_unreadable key={} why=\"{}\"", record.key, e.what());
         return std::nullopt;
@@ -35,14 +35,14 @@
 JobEvidence KnownJobs::learn(const std::string& uid, KnownJob job) {
     if (auto known = find(uid); known && known->over()) return known;
     auto evidence = std::make_shared<const KnownJob>(std::move(job));
-    const auto [it, fresh] = entries_.push_front({uid, evidence});
-    if (!fresh) entries_.modify(it, [&](Entry& e) { e.job = evidence; });
-    if (entries_.size() > most_) entries_.pop_back();
+    const auto [it, inserted] = entries_.push_front({uid, evidence});
+    if (!inserted) entries_.modify(it, [&](Entry& entry) { entry.job = evidence; });
+    if (entries_.size() > capacity_) entries_.pop_back();
     return evidence;
 }
 
 void KnownJobs::forget_open() {
-    entries_.remove_if([](const Entry& e) { return !e.job->over(); });
+    entries_.remove_if([](const Entry& entry) { return !entry.job->over(); });
 }
 
 }  // namespace flintdale::api
--- a/src/api/known_jobs.hpp
+++ b/src/api/known_jobs.hpp
@@ -1,12 +1,13 @@
-// What this controller has lately read of jobs, so that most questions need no more than a comparison. It holds so many
-// of them and drops what was not asked for the longest; what is missing is read again. Nobody relies on an entry being
-// there still: whoever asks keeps the evidence that his own check returned (docs/incidents/cache-emptied-in-use.md).
+// A cache of what this controller has lately read of jobs, so that most checks need no more than a comparison of keys.
+// It evicts the job that was not asked for the longest; what is missing is read again. An entry may be evicted at any
+// time: whoever asks keeps the evidence that the call returned (docs/incidents/cache-emptied-in-use.md).
 #pragma once
 #include <boost/multi_index/hashed_index.hpp>
 #include <boost/multi_index/member.hpp>
 #include <boost/multi_index/sequenced_index.hpp>
 #include <boost/multi_index_container.hpp>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -21,20 +22,21 @@
     std::vector<std::string> dependencies;  // of an open job
     bool over() const { return state != model::JobState::open; }
 };
-// Of a job that was accepted. It stays as it is for as long as somebody holds it.
+// That a job was accepted, and what was known of it then. It does not change.
 using JobEvidence = std::shared_ptr<const KnownJob>;
 
 // What a record says of its job; nothing, with a line in the log, if it cannot be read.
-std::optional<KnownJob> known_from(const state::KeyValue& record);
+std::optional<KnownJob> job_from_record(const state::KeyValue& record);
 
 class KnownJobs {
   public:
-    explicit KnownJobs(std::size_t most) : most_(most) {}
+    // `capacity`: the number of jobs that are kept.
+    explicit KnownJobs(std::size_t capacity) : capacity_(capacity) {}
 
-    // Null if it is not at hand.
+    // Null if the job is not in the cache.
     JobEvidence find(const std::string& uid);
-    // The newer of this and what is known: answers overtake one another on their way here, and a job only ever moves
-    // forward.
+    // Keeps and returns the newer of this and what is known: answers overtake one another on their way here, and a job
+    // only ever moves forward.
     JobEvidence learn(const std::string& uid, KnownJob job);
     // The records were rebuilt: what they say of jobs that are not over has to be read again.
     void forget_open();
@@ -45,13 +47,13 @@
         std::string uid;
         JobEvidence job;
     };
-    // The last that was asked for comes first.
+    // The job that was asked for last comes first.
     boost::multi_index_container<
         Entry, boost::multi_index::indexed_by<
                    boost::multi_index::sequenced<>,
                    boost::multi_index::hashed_unique<boost::multi_index::member<Entry, std::string, &Entry::uid>>>>
         entries_;
-    std::size_t most_;
+    std::size_t capacity_;
 };
 
 }  // namespace flintdale::api
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -56,7 +56,7 @@
       remembered_records_(recovery_),
       job_information_(recovery_, cancellations_, leadership_),
       catalog_(ports_.cloud, store_, record_format_, catalog_callbacks()),
-      submissions_(ex_, store_, settings_, record_format_, submission_callbacks(),
+      submissions_(ex_, store_, settings_, record_format_, job_information_, submission_callbacks(),
                    static_cast<std::size_t>(operator_settings.job_cache_size)),
       routes_(heartbeats_, submissions_, [this] { return readiness(); }) {}
 
@@ -88,7 +88,9 @@
 
 Fencer::Callbacks Controller::fencer_callbacks() {
     Fencer::Callbacks callbacks;
-    callbacks.somebody_knows = [this](model::TimePoint noted) { return cluster_.cancellations_are_handled(noted); };
+    callbacks.cancellations_are_handled = [this](model::TimePoint noted) {
+        return cluster_.cancellations_are_handled(noted);
+    };
     callbacks.machines_of = [this](const std::string& uid) { return recovery_.replica().machines_of(uid); };
     callbacks.cut_off_from_store = [this] { return cluster_.cut_off_from_store(); };
     return callbacks;
@@ -123,13 +125,9 @@
 api::SubmissionService::Callbacks Controller::submission_callbacks() {
     api::SubmissionService::Callbacks callbacks;
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
-    callbacks.tells_cancelled = [this](const std::string& uid) { cancellation_learned(uid); };
-    callbacks.types = [this] { return catalog_.types().empty() ? nullptr : &catalog_.types(); };
-    callbacks.count = [this](const std::string& uid) { return job_information_.display_count(uid); };
-    callbacks.job_changed = [this](const state::KeyValue& record) { job_record_changed(record); };
-    callbacks.remembered = [this](const std::string& uid) { return job_information_.remembered(uid); };
-    callbacks.certain = [this] { return recovery_.knows_all_jobs(); };
-    callbacks.open_record = [this](const std::string& uid) { return job_information_.open_record(uid); };
+    callbacks.machine_types = [this] { return catalog_.types().empty() ? nullptr : &catalog_.types(); };
+    callbacks.cancellation_reported = [this](const std::string& uid) { cancellation_learned(uid); };
+    callbacks.record_observed = [this](const state::KeyValue& record) { job_record_changed(record); };
     return callbacks;
 }
 
--- a/src/app/fencer.cpp
+++ b/src/app/fencer.cpp
@@ -3,8 +3,10 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <iterator>
+#include <utility>
 
-#include "model/machine.hpp"
+#include "model/heartbeat.hpp"
 #include "model/task.hpp"
 #include "scheduler/lease_rule.hpp"
 
@@ -15,14 +17,22 @@
 using model::Seconds;
 
 namespace {
-constexpr auto look_gap = 1s;
-// Before machines are given up: time for a list of them and two questions to each.
-constexpr Seconds ask_before{7};
+
+constexpr auto scan_interval = 1s;
+constexpr auto probe_poll_interval = 20ms;
+// Before machines are fenced: time for a list of them and two probes of each.
+constexpr Seconds probing_time{7};
 // The same for a controller that knows nothing, and the seconds for which it may have been away.
-constexpr Seconds blind_before{12};
-constexpr std::size_t most_asked = 200;       // at once: sockets are scarce
-constexpr std::size_t most_released = 100;    // of a call
-constexpr const char* anything = "anything";  // what a machine may hold of which nobody knows
+constexpr Seconds probing_time_when_cut_off{12};
+constexpr std::size_t max_probes_under_way = 200;  // sockets are scarce
+constexpr std::size_t max_released_per_call = 100;
+// Stands for the jobs of a machine of which no controller knows.
+constexpr const char* any_job = "anything";
+
+Clock::duration fencing_delay(const config::Settings& settings, Seconds earlier = Seconds(0)) {
+    return model::to_clock(scheduler::give_up_silent_after(settings) - earlier);
+}
+
 }  // namespace
 
 Fencer::Fencer(net::Executor ex, cloud::Cloud& cloud, worker::Workers& workers, const config::Settings& settings,
@@ -32,124 +42,149 @@
       workers_(workers),
       settings_(settings),
       callbacks_(std::move(callbacks)),
-      began_(Clock::now()) {}
+      started_at_(Clock::now()) {}
 
 void Fencer::cancelled(const std::string& uid, model::TimePoint at) {
-    cancelled_.emplace(at, Cancelled{uid, Clock::now()});
+    cancellations_.emplace(at, Cancellation{uid, Clock::now()});
+}
+
+void Fencer::heartbeat_received(const std::string& machine) {
+    if (callbacks_.cut_off_from_store()) last_heartbeats_[machine] = Clock::now();
 }
 
 awaitable<void> Fencer::run() {
     for (;;) {
-        co_await net::sleep_for(look_gap);
+        co_await net::sleep_for(scan_interval);
         co_await scan();
     }
 }
 
-Fencer::Due Fencer::due() const {
-    Due out;
+void Fencer::forget_expired_cancellations() {
     const auto now = Clock::now();
-    for (const auto& [at, job] : cancelled_) {
-        const auto& uid = job.uid;
-        if (now < at + model::to_clock(scheduler::give_up_silent_after(settings_) - ask_before)) break;
-        if (callbacks_.somebody_knows(job.noted)) continue;
+    const auto deadline = model::to_clock(settings_.cancel_deadline);
+    while (!cancellations_.empty() && now - cancellations_.begin()->first > deadline)
+        cancellations_.erase(cancellations_.begin());
+}
+
+Fencer::Candidates Fencer::machines_with_cancelled_jobs() const {
+    Candidates candidates;
+    const auto now = Clock::now();
+    for (const auto& [cancelled_at, cancellation] : cancellations_) {
+        const auto& uid = cancellation.uid;
+        if (now < cancelled_at + fencing_delay(settings_, probing_time)) break;
+        if (callbacks_.cancellations_are_handled(cancellation.noted)) continue;
         for (const auto& machine : callbacks_.machines_of(uid)) {
-            if (const auto it = clear_.find(machine); it != clear_.end() && it->second.contains(uid)) continue;
-            if (out.jobs.empty()) out.first = at;
-            out.jobs[machine].insert(uid);
+            const auto cleared = cleared_.find(machine);
+            if (cleared != cleared_.end() && cleared->second.contains(uid)) continue;
+            if (candidates.jobs.empty()) candidates.first_cancelled = cancelled_at;
+            candidates.jobs[machine].insert(uid);
         }
     }
-    return out;
-}
-
-void Fencer::heartbeat_received(const std::string& machine) {
-    if (callbacks_.cut_off_from_store()) heard_[machine] = Clock::now();
+    return candidates;
 }
 
-// Whatever was cancelled was so before this life began. Leaders return such machines after half of cancel_s, so what is
-// left has that long at most; and leases that nobody renews run out meanwhile.
+// Whatever was cancelled was so before this process began. Leaders release such machines after half of the cancel
+// deadline, so what is left has that long at most; and leases that no controller renews run out meanwhile.
 bool Fencer::cut_off_from_store_for_long() const {
     return callbacks_.cut_off_from_store() &&
-           Clock::now() - began_ > model::to_clock(scheduler::give_up_silent_after(settings_) - blind_before);
+           Clock::now() - started_at_ > fencing_delay(settings_, probing_time_when_cut_off);
 }
 
-Fencer::Due Fencer::unknown(const std::vector<model::ListedMachine>& listed) const {
-    Due out;
-    for (const auto& m : listed) {
-        const auto it = heard_.find(m.name);
-        const bool lately = it != heard_.end() && Clock::now() - it->second < model::to_clock(settings_.worker_lease);
-        if (m.status == model::MachineStatus::running && !lately) out.jobs[m.name].insert(anything);
+Fencer::Candidates Fencer::machines_without_heartbeat(const std::vector<model::ListedMachine>& listed) const {
+    Candidates candidates;
+    for (const auto& machine : listed) {
+        const auto last = last_heartbeats_.find(machine.name);
+        const bool has_lease =
+            last != last_heartbeats_.end() && Clock::now() - last->second < model::to_clock(settings_.worker_lease);
+        if (machine.status == model::MachineStatus::running && !has_lease)
+            candidates.jobs[machine.name].insert(any_job);
     }
-    return out;
+    return candidates;
 }
 
 awaitable<void> Fencer::scan() {
-    const auto now = Clock::now();
-    while (!cancelled_.empty() && now - cancelled_.begin()->first > model::to_clock(settings_.cancel_deadline))
-        cancelled_.erase(cancelled_.begin());
-    if (!callbacks_.cut_off_from_store()) heard_.clear();
-    auto found = due();
-    if (found.jobs.empty() && !cut_off_from_store_for_long()) {
-        clear_.clear();
-        silent_.clear();
+    forget_expired_cancellations();
+    if (!callbacks_.cut_off_from_store()) last_heartbeats_.clear();
+    auto candidates = machines_with_cancelled_jobs();
+    if (candidates.jobs.empty() && !cut_off_from_store_for_long()) {
+        cleared_.clear();
+        unresponsive_.clear();
         co_return;
     }
     const auto listed = co_await cloud_.machines();
-    std::map<std::string, std::string> addresses;
-    if (listed)
-        for (const auto& m : *listed)
-            if (m.status != model::MachineStatus::failed) addresses[m.name] = m.addr;
-    const bool cut_off_from_store = listed && cut_off_from_store_for_long();
-    if (cut_off_from_store) found = unknown(*listed);
-    const auto silent_before = std::exchange(silent_, {});
-    for (auto& [machine, jobs] : found.jobs) {
-        while (asking_ >= most_asked) co_await net::sleep_for(20ms);
-        // One that the list does not show may be younger than it, or gone: to return it costs nothing.
-        if (listed && !addresses.contains(machine)) {
-            silent_.insert(machine);
-            continue;
-        }
-        if (!listed) continue;
-        ++asking_;
-        net::asio::co_spawn(ex_, ask(machine, addresses[machine], jobs), net::asio::detached);
+    std::optional<Addresses> addresses;
+    if (listed) {
+        addresses.emplace();
+        for (const auto& machine : *listed)
+            if (machine.status != model::MachineStatus::failed) (*addresses)[machine.name] = machine.addr;
     }
-    while (asking_ > 0) co_await net::sleep_for(20ms);
-    // Somebody who knows may lead by now; and what has not been silent for long is asked once more.
-    if (cut_off_from_store) {
-        if (!cut_off_from_store_for_long()) co_return;
-        std::erase_if(found.jobs, [&](const auto& entry) { return !silent_before.contains(entry.first); });
-    } else {
-        found = due();
-        const bool early = Clock::now() < found.first + model::to_clock(scheduler::give_up_silent_after(settings_));
-        if (found.jobs.empty() || early) co_return;
+    const bool cut_off = listed && cut_off_from_store_for_long();
+    if (cut_off) candidates = machines_without_heartbeat(*listed);
+    const auto unresponsive_before = std::exchange(unresponsive_, {});
+    co_await probe_all(candidates.jobs, std::move(addresses));
+    auto due = still_due(std::move(candidates), cut_off, unresponsive_before);
+    co_await release_unresponsive(std::move(due));
+}
+
+Fencer::JobsByMachine Fencer::still_due(Candidates candidates, bool cut_off,
+                                        const std::set<std::string>& unresponsive_before) {
+    if (cut_off) {
+        if (!cut_off_from_store_for_long()) return {};
+        // A machine that has not been silent for long is probed once more.
+        std::erase_if(candidates.jobs, [&](const auto& entry) { return !unresponsive_before.contains(entry.first); });
+        return std::move(candidates.jobs);
     }
-    std::vector<std::string> names;
-    for (const auto& [machine, jobs] : found.jobs)
-        if (silent_.contains(machine)) names.push_back(machine);
-    for (std::size_t at = 0; at < names.size(); at += most_released) {
-        const auto from = names.begin() + static_cast<std::ptrdiff_t>(at);
-        std::vector<std::string> some(from,
-                                      from + static_cast<std::ptrdiff_t>(std::min(names.size() - at, most_released)));
-        for (const auto& name : some)
-            spdlog::info("event=machine_fenced machine={} jobs={} first={}", name, found.jobs[name].size(),
-                         *found.jobs[name].begin());
-        const bool gone = co_await cloud_.release(some);
-        if (!gone) continue;
-        fenced_ += some.size();
-        for (const auto& name : some) clear_[name].merge(found.jobs[name]);
+    candidates = machines_with_cancelled_jobs();
+    const bool early = Clock::now() < candidates.first_cancelled + fencing_delay(settings_);
+    return early ? JobsByMachine{} : std::move(candidates.jobs);
+}
+
+// Waits by polling: the probes are many, and each ends within seconds.
+awaitable<void> Fencer::probe_all(JobsByMachine candidates, std::optional<Addresses> addresses) {
+    for (const auto& [machine, jobs] : candidates) {
+        while (probes_under_way_ >= max_probes_under_way) co_await net::sleep_for(probe_poll_interval);
+        if (!addresses) continue;
+        const auto address = addresses->find(machine);
+        // A machine that the list does not show may be younger than the list, or gone: to release it costs nothing.
+        if (address == addresses->end()) {
+            unresponsive_.insert(machine);
+            continue;
+        }
+        ++probes_under_way_;
+        net::asio::co_spawn(ex_, probe(machine, address->second, jobs), net::asio::detached);
     }
+    while (probes_under_way_ > 0) co_await net::sleep_for(probe_poll_interval);
 }
 
-// A worker that answers does not hang: what it still shows ends with its lease.
-awaitable<void> Fencer::ask(std::string machine, std::string address, std::set<std::string> jobs) {
-    const auto report = co_await workers_.status(std::move(address));
-    --asking_;
-    if (!report) {
-        silent_.insert(machine);
+// A worker that answers does not hang: the tasks that it still reports end with its lease.
+awaitable<void> Fencer::probe(std::string machine, std::string address, std::set<std::string> jobs) {
+    const auto heartbeat = co_await workers_.status(std::move(address));
+    --probes_under_way_;
+    if (!heartbeat) {
+        unresponsive_.insert(machine);
         co_return;
     }
-    for (const auto& t : report->tasks)
-        if (t.status != model::TaskStatus::exited) jobs.erase(t.id.uid);
-    clear_[machine].merge(jobs);
+    for (const auto& task : heartbeat->tasks)
+        if (task.status != model::TaskStatus::exited) jobs.erase(task.id.uid);
+    cleared_[machine].merge(jobs);
+}
+
+awaitable<void> Fencer::release_unresponsive(JobsByMachine jobs) {
+    std::vector<std::string> names;
+    for (const auto& [machine, uids] : jobs)
+        if (unresponsive_.contains(machine)) names.push_back(machine);
+    for (std::size_t first = 0; first < names.size(); first += max_released_per_call) {
+        const auto count = std::min(names.size() - first, max_released_per_call);
+        const auto begin = std::next(names.begin(), static_cast<std::ptrdiff_t>(first));
+        const std::vector<std::string> portion(begin, std::next(begin, static_cast<std::ptrdiff_t>(count)));
+        for (const auto& name : portion)
+            spdlog::info("event=machine_fenced machine={} jobs={} first={}", name, jobs[name].size(),
+                         *jobs[name].begin());
+        const bool released = co_await cloud_.release(portion);
+        if (!released) continue;
+        fenced_ += portion.size();
+        for (const auto& name : portion) cleared_[name].merge(jobs[name]);
+    }
 }
 
 }  // namespace flintdale::app
--- a/src/app/job_information.hpp
+++ b/src/app/job_information.hpp
@@ -5,27 +5,26 @@
 #include <string>
 #include <unordered_map>
 
-#include "api/submission_service.hpp"
+#include "api/job_memory.hpp"
 #include "app/cluster_view.hpp"
 #include "peer/cancellations.hpp"
 #include "recovery/recovery_coordinator.hpp"
 
 namespace flintdale::app {
 
-class JobInformation {
+class JobInformation : public api::JobMemory {
   public:
     JobInformation(const recovery::RecoveryCoordinator& recovery, const peer::Cancellations& cancellations,
                    const OwnLeadership& leadership)
         : recovery_(recovery), cancellations_(cancellations), leadership_(leadership) {}
 
-    // Tasks done and running, for display only: the leader's count, or what it last told this controller.
-    api::DisplayCount display_count(const std::string& uid) const;
+    // The count of the term that runs here, or else what the leader last said.
+    api::DisplayCount display_count(const std::string& uid) const override;
     void peer_counts_received(const std::vector<peer::JobCount>& counts);
 
-    // What is remembered of the job, whether or not it is on record in its place.
-    std::optional<api::Remembered> remembered(const std::string& uid) const;
-    // The first record of an open job, as it was last read; nothing if it has to be read.
-    std::optional<state::KeyValue> open_record(const std::string& uid) const;
+    std::optional<api::Remembered> remembered(const std::string& uid) const override;
+    bool knows_all_jobs() const override { return recovery_.knows_all_jobs(); }
+    std::optional<state::KeyValue> open_record(const std::string& uid) const override;
 
   private:
     const recovery::RecoveryCoordinator& recovery_;
--- a/src/app/worker_assignment.cpp
+++ b/src/app/worker_assignment.cpp
@@ -10,21 +10,24 @@
 using model::TimePoint;
 
 namespace {
+
 // Of the sockets; the rest are for users, and for workers that come at once when a controller ends.
-constexpr double sockets_for_workers = 0.75;
-constexpr std::size_t own_sockets = 64;
-// Of a core, for one report and its answer over HTTP, as measured (docs/CAPACITY.md).
-constexpr double direct_report_s = 60e-6, relayed_report_s = 70e-6;
-// Of the processor time, that a leader and others spend on workers' reports.
-constexpr double leader_time = 0.5, follower_time = 0.8;
-constexpr double served_reports = 2.5;  // report intervals of a period
-constexpr auto heard_within = 3s;
-constexpr auto fleet_remembered = 60s;
-// A worker that is back so soon after it was sent to the leader does not reach it.
-constexpr auto back_within = 20s;
-constexpr double overload = 1.1;          // times the capacity at which workers that are served are sent away
-constexpr double sent_away_share = 0.01;  // of the capacity, a second
-constexpr std::size_t most_remembered = 100'000;
+constexpr double worker_socket_share = 0.75;
+constexpr std::size_t own_sockets_divisor = 4;
+constexpr std::size_t max_own_sockets = 64;
+// Of a core, for one heartbeat and its answer over HTTP, as measured (docs/CAPACITY.md).
+constexpr double direct_heartbeat_seconds = 60e-6, relayed_heartbeat_seconds = 70e-6;
+// Of the processor time, that a leader and others spend on heartbeats.
+constexpr double leader_cpu_share = 0.5, follower_cpu_share = 0.8;
+constexpr double intervals_per_period = 2.5;
+constexpr auto peer_timeout = 3s;
+constexpr auto fleet_size_lifetime = 60s;
+// A worker that is back so soon after it was redirected to the leader does not reach it.
+constexpr auto return_window = 20s;
+constexpr double overload_factor = 1.1;  // of the capacity, above which workers that are served are redirected
+constexpr double shed_share = 0.01;      // of the capacity, a second
+constexpr std::size_t max_redirected_remembered = 100'000;
+
 }  // namespace
 
 WorkerAssignment::WorkerAssignment(const config::Settings& settings, const config::OperatorSettings& operator_settings)
@@ -33,32 +36,33 @@
 }
 
 std::uint32_t WorkerAssignment::Peer::room() const {
-    const auto taken = load.workers + sent;
+    const auto taken = load.workers + redirected;
     return load.capacity > taken ? load.capacity - taken : 0;
 }
 
 std::uint32_t WorkerAssignment::capacity(bool leading) const {
-    const auto sockets = static_cast<double>(settings_.max_sockets - std::min(settings_.max_sockets / 4, own_sockets));
-    double out = sockets * sockets_for_workers;
+    const auto own_sockets = std::min(settings_.max_sockets / own_sockets_divisor, max_own_sockets);
+    double workers = static_cast<double>(settings_.max_sockets - own_sockets) * worker_socket_share;
     if (settings_.cpu_share > 0) {
-        const double reports_a_second =
-            settings_.cpu_share * (leading ? leader_time / direct_report_s : follower_time / relayed_report_s);
-        out = std::min(out, reports_a_second * settings_.heartbeat_interval.count());
+        const double heartbeats_per_second =
+            settings_.cpu_share *
+            (leading ? leader_cpu_share / direct_heartbeat_seconds : follower_cpu_share / relayed_heartbeat_seconds);
+        workers = std::min(workers, heartbeats_per_second * settings_.heartbeat_interval.count());
     }
-    if (leading) out *= operator_settings_.direct_share;
-    return static_cast<std::uint32_t>(out);
+    if (leading) workers *= operator_settings_.direct_share;
+    return static_cast<std::uint32_t>(workers);
 }
 
 void WorkerAssignment::peer_load_received(const std::string& member, const Load& load, TimePoint now) {
     auto& peer = peers_[member];
     peer.load = load;
-    peer.sent = 0;
-    peer.heard = now;
+    peer.redirected = 0;
+    peer.received_at = now;
     if (!load.leading || load.fleet == 0) return;
-    // A leader that has just come may not know of all yet.
-    if (load.fleet >= fleet_ || now - fleet_told_ > fleet_remembered) {
+    // A leader that has just come may not know of all machines yet.
+    if (load.fleet >= fleet_ || now - fleet_received_at_ > fleet_size_lifetime) {
         fleet_ = load.fleet;
-        fleet_told_ = now;
+        fleet_received_at_ = now;
     }
 }
 
@@ -67,101 +71,112 @@
     return it != served_.end() && it->second + 1 >= period_;
 }
 
-void WorkerAssignment::rotate(TimePoint now) {
-    if (now - period_since_ < model::to_clock(settings_.heartbeat_interval * served_reports)) return;
+void WorkerAssignment::begin_period_if_due(TimePoint now) {
+    if (now - period_began_ < model::to_clock(settings_.heartbeat_interval * intervals_per_period)) return;
     ++period_;
-    period_since_ = now;
-    last_period_ = std::exchange(this_period_, 0);
-    newcomers_ = 0;
-    if (served_.size() > std::size_t{2} * last_period_ + settings_.max_sockets)
+    period_began_ = now;
+    workers_last_period_ = std::exchange(workers_this_period_, 0);
+    new_workers_ = 0;
+    if (served_.size() > std::size_t{2} * workers_last_period_ + settings_.max_sockets)
         std::erase_if(served_, [this](const auto& entry) { return entry.second + 1 < period_; });
 }
 
 std::uint32_t WorkerAssignment::workers(TimePoint now) {
-    rotate(now);
-    return last_period_ + newcomers_;
+    begin_period_if_due(now);
+    return workers_last_period_ + new_workers_;
 }
 
-void WorkerAssignment::served(const std::string& machine) {
+void WorkerAssignment::note_served(const std::string& machine) {
     auto& period = served_[machine];
     if (period == period_) return;
-    if (period + 1 != period_) ++newcomers_;
+    if (period + 1 != period_) ++new_workers_;
     period = period_;
-    ++this_period_;
+    ++workers_this_period_;
 }
 
-// Slowly, for a worker that is sent away opens a new connection.
-bool WorkerAssignment::may_send_away(TimePoint now, std::uint32_t capacity) {
-    const Seconds gap(1 / std::max(1.0, capacity * sent_away_share));
-    if (now - sent_away_ < model::to_clock(gap)) return false;
-    sent_away_ = now;
+// Slowly, for a worker that is redirected opens a new connection.
+bool WorkerAssignment::may_shed(std::uint32_t workers, std::uint32_t capacity, TimePoint now) {
+    if (workers <= capacity * overload_factor) return false;
+    const Seconds interval(1 / std::max(1.0, capacity * shed_share));
+    if (now - last_shed_ < model::to_clock(interval)) return false;
+    last_shed_ = now;
     return true;
 }
 
-std::optional<std::string> WorkerAssignment::send_to(Peer& peer, const std::string& member) {
-    ++peer.sent;
+std::optional<std::string> WorkerAssignment::redirect_to(Peer& peer, const std::string& member) {
+    ++peer.redirected;
     return member;
 }
 
-// Of the worker's zone first.
-std::optional<std::string> WorkerAssignment::with_most_room(const std::string& zone, const std::string& but,
-                                                            TimePoint now) {
-    std::pair<bool, std::uint32_t> best{false, 0};
+std::optional<std::string> WorkerAssignment::redirect_to_most_room(const std::string& zone, const std::string& except,
+                                                                   TimePoint now) {
+    struct Rating {
+        bool same_zone = false;
+        std::uint32_t room = 0;
+        auto operator<=>(const Rating&) const = default;
+    };
+    Rating best;
     auto found = peers_.end();
     for (auto it = peers_.begin(); it != peers_.end(); ++it) {
         const auto& peer = it->second;
-        if (it->first == but || !peer.load.relays || now - peer.heard >= heard_within || peer.room() == 0) continue;
-        const std::pair<bool, std::uint32_t> rating{peer.zone == zone, peer.room()};
+        const bool recent = now - peer.received_at < peer_timeout;
+        if (it->first == except || !peer.load.relays || !recent || peer.room() == 0) continue;
+        const Rating rating{peer.zone == zone, peer.room()};
         if (found != peers_.end() && rating <= best) continue;
         best = rating;
         found = it;
     }
     if (found == peers_.end()) return std::nullopt;
-    return send_to(found->second, found->first);
+    return redirect_to(found->second, found->first);
 }
 
 std::optional<std::string> WorkerAssignment::at_leader(const std::string& machine, const std::string& zone,
                                                        TimePoint now) {
     const auto here = workers(now);
-    const auto most = capacity(true);
-    const bool crowded = serves(machine) ? here > most * overload && may_send_away(now, most) : here >= most;
-    if (crowded)
-        if (auto other = with_most_room(zone, settings_.member, now)) return other;
-    served(machine);
+    const auto limit = capacity(true);
+    const bool redirects = serves(machine) ? may_shed(here, limit, now) : here >= limit;
+    if (redirects)
+        if (auto other = redirect_to_most_room(zone, settings_.member, now)) return other;
+    note_served(machine);
     return std::nullopt;
 }
 
-// Whether the leader has room for all workers there are.
-bool WorkerAssignment::enough_alone(const Peer& leader) const { return fleet_ > 0 && fleet_ <= leader.load.capacity; }
+bool WorkerAssignment::has_room_for_all(const Peer& leader) const {
+    return fleet_ > 0 && fleet_ <= leader.load.capacity;
+}
 
-// What the leader has told, divided among all that may send workers to it before it tells more.
-bool WorkerAssignment::leader_has_room(const Peer& leader) const {
-    if (enough_alone(leader)) return true;
+// The room that the leader has said, divided among all that may redirect workers to it before it says more.
+bool WorkerAssignment::has_room(const Peer& leader) const {
+    if (has_room_for_all(leader)) return true;
     const auto others = std::max<std::size_t>(1, settings_.peers.size());
-    return leader.room() > 0 && leader.sent < (leader.room() + leader.sent + others - 1) / others;
+    const auto own_part = (leader.room() + leader.redirected + others - 1) / others;
+    return leader.room() > 0 && leader.redirected < own_part;
+}
+
+bool WorkerAssignment::returned_from_leader(const std::string& machine, TimePoint now) const {
+    const auto it = redirected_to_leader_.find(machine);
+    return it != redirected_to_leader_.end() && now - it->second < return_window;
 }
 
 std::optional<std::string> WorkerAssignment::at_follower(const std::string& machine, const std::string& zone,
                                                          const std::string& leader, TimePoint now) {
     const auto here = workers(now);
-    const auto most = capacity(false);
+    const auto limit = capacity(false);
     if (serves(machine)) {
-        if (here > most * overload && may_send_away(now, most))
-            if (auto other = with_most_room(zone, settings_.member, now)) return other;
-        served(machine);
+        if (may_shed(here, limit, now))
+            if (auto other = redirect_to_most_room(zone, settings_.member, now)) return other;
+        note_served(machine);
         return std::nullopt;
     }
-    auto& leading = peers_[leader];
-    const auto sent = sent_on_.find(machine);
-    const bool back = sent != sent_on_.end() && now - sent->second < back_within;
-    if (leader_has_room(leading) && (enough_alone(leading) || !back)) {
-        if (sent_on_.size() > most_remembered) sent_on_.clear();
-        sent_on_[machine] = now;
-        return send_to(leading, leader);
+    auto& leading_peer = peers_[leader];
+    if (has_room(leading_peer) && (has_room_for_all(leading_peer) || !returned_from_leader(machine, now))) {
+        if (redirected_to_leader_.size() > max_redirected_remembered) redirected_to_leader_.clear();
+        redirected_to_leader_[machine] = now;
+        return redirect_to(leading_peer, leader);
     }
-    if (here >= most)
-        if (auto other = with_most_room(zone, leader, now)) return other;
-    served(machine);
+    if (here >= limit)
+        if (auto other = redirect_to_most_room(zone, leader, now)) return other;
+    note_served(machine);
     return std::nullopt;
 }
 
--- a/src/app/worker_assignment.hpp
+++ b/src/app/worker_assignment.hpp
@@ -1,7 +1,8 @@
-// Which controller a worker reports to. Where one leader is enough for all workers, all report to it. Where it is not,
-// the others relay what they can; a worker that reports somewhere stays there. All bounds follow from the platform's
-// limits.
+// Which controller a worker reports to. Where the leader has room for all workers, all report to it. Where it has not,
+// the other controllers relay as many as they can; a worker that reports to one of them stays there. All bounds follow
+// from the platform's limits on sockets and processor time.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -14,25 +15,28 @@
 
 class WorkerAssignment {
   public:
+    using TimePoint = model::TimePoint;
+
     WorkerAssignment(const config::Settings& settings, const config::OperatorSettings& operator_settings);
 
     // What another controller says of itself.
     struct Load {
         bool relays = false, leading = false;
         std::uint32_t workers = 0, capacity = 0;
-        std::uint32_t fleet = 0;  // from a leader: machines that it knows of; 0: not told
+        std::uint32_t fleet = 0;  // from a leader: machines that it knows of; 0: not said
     };
-    void peer_load_received(const std::string& member, const Load& load, model::TimePoint now);
+    void peer_load_received(const std::string& member, const Load& load, TimePoint now);
 
-    // The controller that a worker which has reported here is sent to; nothing: it is served here.
-    std::optional<std::string> at_leader(const std::string& machine, const std::string& zone, model::TimePoint now);
+    // At the leader: the controller that a worker which has reported here is redirected to; nothing: it is served here.
+    std::optional<std::string> at_leader(const std::string& machine, const std::string& zone, TimePoint now);
     // The same at a controller that relays to that leader.
     std::optional<std::string> at_follower(const std::string& machine, const std::string& zone,
-                                           const std::string& leader, model::TimePoint now);
+                                           const std::string& leader, TimePoint now);
 
-    // Whether the worker was served here at its last report.
+    // Whether the worker was served here at its last heartbeat.
     bool serves(const std::string& machine) const;
-    std::uint32_t workers(model::TimePoint now);
+    // Workers that report here.
+    std::uint32_t workers(TimePoint now);
     // Workers that may report here, by the limits on sockets and on processor time.
     std::uint32_t capacity(bool leading) const;
 
@@ -40,29 +44,32 @@
     struct Peer {
         std::string zone;
         Load load;
-        std::uint32_t sent = 0;  // workers that were sent there since it last told its load
-        model::TimePoint heard{};
+        std::uint32_t redirected = 0;  // workers redirected there since its last load
+        TimePoint received_at{};       // its last load
         std::uint32_t room() const;
     };
-    void served(const std::string& machine);
-    void rotate(model::TimePoint now);
-    bool may_send_away(model::TimePoint now, std::uint32_t capacity);
-    std::optional<std::string> send_to(Peer& peer, const std::string& member);
-    std::optional<std::string> with_most_room(const std::string& zone, const std::string& but, model::TimePoint now);
-    bool enough_alone(const Peer& leader) const;
-    bool leader_has_room(const Peer& leader) const;
+    void note_served(const std::string& machine);
+    void begin_period_if_due(TimePoint now);
+    // Whether this controller is over its capacity and may redirect one of the workers that it serves.
+    bool may_shed(std::uint32_t workers, std::uint32_t capacity, TimePoint now);
+    static std::optional<std::string> redirect_to(Peer& peer, const std::string& member);
+    // The controller with most room, in the worker's zone first, other than `except`; nothing if none has room.
+    std::optional<std::string> redirect_to_most_room(const std::string& zone, const std::string& except, TimePoint now);
+    bool has_room_for_all(const Peer& leader) const;
+    bool has_room(const Peer& leader) const;
+    bool returned_from_leader(const std::string& machine, TimePoint now) const;
 
     const config::Settings& settings_;
     const config::OperatorSettings& operator_settings_;
     std::map<std::string, Peer> peers_;
-    std::uint32_t fleet_ = 0;
-    model::TimePoint fleet_told_{};
+    std::uint32_t fleet_ = 0;  // machines, as a leader last said
+    TimePoint fleet_received_at_{};
     // Workers by the period in which they last reported here; those of the last two are served.
     std::unordered_map<std::string, std::uint64_t> served_;
-    std::unordered_map<std::string, model::TimePoint> sent_on_;  // to the leader, when
+    std::unordered_map<std::string, TimePoint> redirected_to_leader_;  // workers, when
     std::uint64_t period_ = 1;
-    model::TimePoint period_since_{}, sent_away_{};
-    std::uint32_t last_period_ = 0, this_period_ = 0, newcomers_ = 0;
+    TimePoint period_began_{}, last_shed_{};
+    std::uint32_t workers_last_period_ = 0, workers_this_period_ = 0, new_workers_ = 0;
 };
 
 }  // namespace flintdale::app
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -5,6 +5,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "election/quota_table_record.hpp"
+#include "election/record_fields.hpp"
+
 namespace flintdale::election {
 
 using namespace std::chrono_literals;
@@ -13,130 +16,117 @@
 
 namespace {
 
-std::uint64_t format_in(const state::KeyValue& item) {
-    if (!item.mod_revision || !item.value.is_object()) return 0;
-    const auto* n = item.value.get_object().if_contains("format");
-    return n && n->is_number() ? n->to_number<std::uint64_t>() : 0;
+constexpr auto enroll_retry_delay = 300ms;
+constexpr auto read_interval = 400ms;
+constexpr auto watch_duration = 10s;
+
+std::string member_key(const std::string& member) { return members_prefix + member; }
+
+std::uint64_t format_in(const state::KeyValue& record) { return number_field(record, "format"); }
+
+const state::KeyValue* find(const std::vector<state::KeyValue>& records, const std::string& key) {
+    const auto it = std::find_if(records.begin(), records.end(), [&](const auto& record) { return record.key == key; });
+    return it == records.end() ? nullptr : &*it;
 }
 
 }  // namespace
 
 Members::Members(state::Store& store, const config::Settings& settings, state::RecordFormat& record_format,
-                 std::function<void(const quota::Table&)> teams)
+                 std::function<void(const quota::Table&)> quota_changed)
     : store_(store),
       record_format_(record_format),
-      teams_changed_(std::move(teams)),
-      own_teams_(quota::table_of(settings.teams)),
-      teams_(own_teams_),
+      quota_changed_(std::move(quota_changed)),
+      own_table_(quota::table_of(settings.teams)),
+      table_(own_table_),
       member_(settings.member),
-      nodes_(settings.controllers) {
+      controller_count_(settings.controllers) {
     names_.push_back(settings.member);
     for (const auto& peer : settings.peers) names_.push_back(peer.member);
 }
 
-namespace {
-
-boost::json::object teams_record(const quota::Table& table) {
-    boost::json::object out;
-    for (const auto& [name, f] : table)
-        out[name] = boost::json::array{f.limit.cpus, f.limit.gpus, f.guarantee.cpus, f.guarantee.gpus};
-    return out;
-}
-
-// Nothing from a version that does not tell, or where it cannot be read.
-std::optional<quota::Table> teams_in(const state::KeyValue& item) {
-    const auto* o = item.mod_revision ? item.value.if_object() : nullptr;
-    const auto* teams = o ? o->if_contains("teams") : nullptr;
-    if (!teams || !teams->is_object()) return std::nullopt;
-    quota::Table out;
-    for (const auto& entry : teams->get_object()) {
-        const auto* a = entry.value().if_array();
-        const auto number = [&](std::size_t i) { return (*a)[i].is_number() ? (*a)[i].to_number<double>() : -1.0; };
-        if (!a || a->size() != 4) return std::nullopt;
-        const double f[4] = {number(0), number(1), number(2), number(3)};
-        if (std::any_of(std::begin(f), std::end(f), [](double v) { return !(v >= 0); })) return std::nullopt;
-        out[std::string(entry.key())] = {{f[0], f[1]}, {f[2], f[3]}};
-    }
-    return out;
-}
-
-}  // namespace
-
-// Puts this controller's key in place. After a lost answer it is read again.
+// After a lost answer the key is read again.
 awaitable<bool> Members::enroll() {
-    const std::string key = members_prefix + member_;
-    const auto got = co_await store_.get(key, RequestPriority::leadership);
-    if (got.outcome != Outcome::ok) co_return false;
-    const auto known = teams_in(got.item);
-    if (format_in(got.item) == state::newest_format && known && *known == own_teams_) co_return true;
+    const auto key = member_key(member_);
+    const auto found = co_await store_.get(key, RequestPriority::leadership);
+    if (found.outcome != Outcome::ok) co_return false;
+    const auto recorded = quota_table_in(found.item);
+    if (format_in(found.item) == state::newest_format && recorded && *recorded == own_table_) co_return true;
     state::Txn txn;
-    txn.conditions.push_back({key, got.item.mod_revision});
-    boost::json::object value{{"format", state::newest_format}, {"teams", teams_record(own_teams_)}};
+    txn.conditions.push_back({key, found.item.mod_revision});
+    boost::json::object value{{"format", state::newest_format}, {"teams", encode_quota_table(own_table_)}};
     txn.changes.push_back({key, std::move(value), 0});
     const auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
     co_return result.outcome == Outcome::ok;
 }
 
-awaitable<void> Members::restore_enrollment() {
+awaitable<void> Members::enroll_with_retries() {
     for (;;) {
-        const bool there = co_await enroll();
-        if (there) co_return;
-        co_await net::sleep_for(300ms);
+        const bool done = co_await enroll();
+        if (done) co_return;
+        co_await net::sleep_for(enroll_retry_delay);
     }
 }
 
-awaitable<bool> Members::all_there() {
+awaitable<void> Members::restore_enrollment() { co_await enroll_with_retries(); }
+
+awaitable<bool> Members::all_read_newest_format() {
     const auto page = co_await store_.range(members_prefix, std::string(), RequestPriority::leadership);
     if (page.outcome != Outcome::ok) co_return false;
     revision_ = page.revision;
-    settle_teams(page.items);
-    std::uint64_t common = state::newest_format;
-    for (const auto& name : names_) {
-        const auto it = std::find_if(page.items.begin(), page.items.end(),
-                                     [&](const auto& item) { return item.key == members_prefix + name; });
-        common = std::min(common, it == page.items.end() ? state::oldest_format : format_in(*it));
-    }
+    update_quota_table(page.items);
+    const auto common = common_format(page.items);
     spdlog::info("event=members_enrolled enrolled={} of={} format={}", page.items.size(), names_.size(), common);
-    // Without all their names there is no telling that all are there.
-    if (names_.size() < nodes_ || common < state::newest_format) co_return false;
+    // Without all their names it is not known whether all are there.
+    if (names_.size() < controller_count_ || common < state::newest_format) co_return false;
     record_format_.all_read(common);
     co_return true;
 }
 
-// A key stays when its controller is down, and with it the figures that this goes by: so the strictest holds until the
-// last controller has come back with the new ones, and none that is cut off or stands still can know others.
-void Members::settle_teams(const std::vector<state::KeyValue>& items) {
-    auto table = own_teams_;
-    for (const auto& name : names_)
-        for (const auto& item : items)
-            if (item.key == members_prefix + name)
-                if (const auto theirs = teams_in(item)) table = quota::strictest(table, *theirs);
-    if (table == teams_) return;
-    teams_ = std::move(table);
-    spdlog::info("event=quota_table_changed differs={}", teams_ != own_teams_);
-    if (teams_changed_) teams_changed_(teams_);
+std::uint64_t Members::common_format(const std::vector<state::KeyValue>& members) const {
+    std::uint64_t common = state::newest_format;
+    for (const auto& name : names_) {
+        const auto* record = find(members, member_key(name));
+        common = std::min(common, record ? format_in(*record) : std::uint64_t{state::oldest_format});
+    }
+    return common;
 }
 
-awaitable<void> Members::run() {
-    for (;;) {
-        enrolled_ = co_await enroll();
-        if (enrolled_) break;
-        co_await net::sleep_for(300ms);
+// A key stays when its controller is down, and with it the quota table that this goes by: so the strictest holds until
+// the last controller has come back with the new one, and a controller that is cut off or paused cannot know another.
+void Members::update_quota_table(const std::vector<state::KeyValue>& members) {
+    auto table = own_table_;
+    for (const auto& name : names_) {
+        const auto* record = find(members, member_key(name));
+        const auto recorded = record ? quota_table_in(*record) : std::nullopt;
+        if (recorded) table = quota::strictest(table, *recorded);
     }
-    bool in_use = false;
+    if (table == table_) return;
+    table_ = std::move(table);
+    spdlog::info("event=quota_table_changed differs={}", table_ != own_table_);
+    if (quota_changed_) quota_changed_(table_);
+}
+
+awaitable<void> Members::run() {
+    co_await enroll_with_retries();
+    enrolled_ = true;
+    bool format_in_use = false;
     for (;;) {
         revision_ = 0;
-        const bool there = co_await all_there();
-        if (there && !std::exchange(in_use, true))
+        const bool all = co_await all_read_newest_format();
+        if (all && !std::exchange(format_in_use, true))
             spdlog::info("event=record_format_in_use format={}", record_format_.format());
-        // Later it is the figures of teams that may change.
-        while (revision_) {
-            const auto seen = co_await store_.watch(members_prefix, revision_, 10s);
-            if (seen.outcome != Outcome::ok || !seen.events.empty() || seen.revision < revision_) break;
-            revision_ = seen.revision;
-            if (!in_use) break;
-        }
-        co_await net::sleep_for(400ms);
+        co_await wait_for_change(format_in_use);
+        co_await net::sleep_for(read_interval);
+    }
+}
+
+// Once the newest format is in use, it is the quota table that may still change.
+awaitable<void> Members::wait_for_change(bool format_in_use) {
+    while (revision_) {
+        const auto changes = co_await store_.watch(members_prefix, revision_, watch_duration);
+        if (changes.outcome != Outcome::ok || !changes.events.empty() || changes.revision < revision_) co_return;
+        revision_ = changes.revision;
+        if (!format_in_use) co_return;
     }
 }
 
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -1,4 +1,4 @@
-// Who leads, when answers are lost and former lives linger.
+// Who leads, also when answers are lost and claims of an earlier process remain.
 #include "election/elector.hpp"
 #include "support/fake_store.hpp"
 
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -1,4 +1,4 @@
-// Machines that hang with cancelled work while nobody who knows of it leads.
+// Machines that hang with cancelled work while no controller that knows of it leads.
 #include "app/fencer.hpp"
 
 #include <gtest/gtest.h>
@@ -22,22 +22,22 @@
 
     net::asio::io_context io;
     config::Settings cluster = settings();
-    std::map<std::string, std::set<std::string>> placed;  // job -> machines, on record
-    std::map<std::string, std::set<std::string>> holds;   // machine -> jobs
-    std::set<std::string> hanging, returned, asked;
-    bool somebody_knows = false, cloud_answers = true, cut_off_from_store = false;
+    std::map<std::string, std::set<std::string>> placed;   // job -> machines, on record
+    std::map<std::string, std::set<std::string>> running;  // machine -> jobs
+    std::set<std::string> hanging, released, probed;
+    bool handled = false, cloud_answers = true, cut_off_from_store = false;
     Fencer fencer{io.get_executor(),
                   *this,
                   *this,
                   cluster,
-                  {[this](TimePoint) { return somebody_knows; }, [this](const std::string& uid) { return placed[uid]; },
+                  {[this](TimePoint) { return handled; }, [this](const std::string& uid) { return placed[uid]; },
                    [this] { return cut_off_from_store; }}};
 
     net::awaitable<std::optional<std::vector<model::MachineType>>> catalog() override { co_return std::nullopt; }
     net::awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override {
         if (!cloud_answers) co_return std::nullopt;
         std::vector<model::ListedMachine> out;
-        for (const auto& [name, jobs] : holds) {
+        for (const auto& [name, jobs] : running) {
             model::ListedMachine m;
             m.name = m.addr = name;
             m.status = model::MachineStatus::running;
@@ -51,19 +51,19 @@
     net::awaitable<bool> release(std::vector<std::string> names) override {
         if (!cloud_answers) co_return false;
         for (const auto& name : names) {
-            returned.insert(name);
-            holds.erase(name);
+            released.insert(name);
+            running.erase(name);
         }
         co_return true;
     }
     net::awaitable<std::optional<model::Heartbeat>> status(std::string address) override {
-        asked.insert(address);
+        probed.insert(address);
         if (hanging.contains(address)) {
             co_await net::sleep_for(1500ms);
             co_return std::nullopt;
         }
         model::Heartbeat r;
-        for (const auto& uid : holds[address]) {
+        for (const auto& uid : running[address]) {
             model::TaskReport t;
             t.id = {uid, 0};
             t.status = TaskStatus::running;
@@ -82,7 +82,7 @@
     // Cancelled now, its tasks on these machines.
     void cancelled(const std::string& uid, const std::set<std::string>& machines) {
         placed[uid] = machines;
-        for (const auto& m : machines) holds[m].insert(uid);
+        for (const auto& m : machines) running[m].insert(uid);
         fencer.cancelled(uid, now);
     }
     Seconds cancel() const { return cluster.cancel_deadline; }
@@ -93,43 +93,43 @@
 TEST_F(FencerTest, FencesAHangingMachineInTimeAndSparesThoseThatAnswer) {
     hanging = {"n-2"};
     cancelled("run-1", {"n-1", "n-2", "n-3"});
-    holds["n-1"].clear();  // it has ended there; on n-3 it goes on until the lease has run out
+    running["n-1"].clear();  // it has ended there; on n-3 it goes on until the lease has run out
     pass(cancel() * 0.5 - Seconds(8));
-    EXPECT_TRUE(asked.empty()) << "the leader may hear of it yet";
+    EXPECT_TRUE(probed.empty()) << "the leader may still learn of it";
     pass(Seconds(7));
-    EXPECT_FALSE(asked.empty());
-    EXPECT_TRUE(returned.empty()) << "it may answer yet";
+    EXPECT_FALSE(probed.empty());
+    EXPECT_TRUE(released.empty()) << "it may still answer";
     // What is left is as long again: a controller that ended just before this has it to find the machine.
     pass(Seconds(4));
-    EXPECT_EQ(returned, std::set<std::string>{"n-2"});
-    EXPECT_EQ(asked, (std::set<std::string>{"n-1", "n-2", "n-3"}));
+    EXPECT_EQ(released, std::set<std::string>{"n-2"});
+    EXPECT_EQ(probed, (std::set<std::string>{"n-1", "n-2", "n-3"}));
     EXPECT_EQ(fencer.fenced(), 1u);
 }
 
 TEST_F(FencerTest, DoesNothingWhileAnInformedControllerLeads) {
-    somebody_knows = true;
+    handled = true;
     hanging = {"n-1"};
     cancelled("run-1", {"n-1"});
     pass(cancel() + Seconds(5));
-    EXPECT_TRUE(asked.empty());
-    EXPECT_TRUE(returned.empty());
+    EXPECT_TRUE(probed.empty());
+    EXPECT_TRUE(released.empty());
 }
 
 TEST_F(FencerTest, StopsWhenTheMachineAnswersOrALeaderLearnsOfTheCancellation) {
     hanging = {"n-1", "n-2"};
     cancelled("run-1", {"n-1"});
     pass(cancel() * 0.5 - Seconds(4));
-    ASSERT_FALSE(asked.empty());
+    ASSERT_FALSE(probed.empty());
     hanging = {"n-2"};
     pass(cancel() * 0.5 + Seconds(4));
-    EXPECT_TRUE(returned.empty());
-    asked.clear();
+    EXPECT_TRUE(released.empty());
+    probed.clear();
     cancelled("run-2", {"n-2"});
     pass(cancel() * 0.5 - Seconds(2));
-    EXPECT_TRUE(asked.contains("n-2"));
-    somebody_knows = true;
+    EXPECT_TRUE(probed.contains("n-2"));
+    handled = true;
     pass(cancel() * 0.5 + Seconds(2));
-    EXPECT_TRUE(returned.empty());
+    EXPECT_TRUE(released.empty());
 }
 
 TEST_F(FencerTest, FencesHundredsOfHangingMachinesInTimeThoughTheCloudIsSlow) {
@@ -139,34 +139,35 @@
     cancelled("run-1", many);
     cloud_answers = false;
     pass(cancel() - Seconds(10));
-    EXPECT_TRUE(returned.empty());
+    EXPECT_TRUE(released.empty());
     cloud_answers = true;
     pass(Seconds(8));
-    EXPECT_EQ(returned.size(), many.size());
+    EXPECT_EQ(released.size(), many.size());
 }
 
 // A list may be as old as it lags: a machine that it does not show may be there and hang.
 TEST_F(FencerTest, FencesAMachineThatIsNotListed) {
     cancelled("run-1", {"n-1"});
-    holds.clear();
+    running.clear();
     pass(cancel() - Seconds(5));
-    EXPECT_EQ(returned, std::set<std::string>{"n-1"});
+    EXPECT_EQ(released, std::set<std::string>{"n-1"});
 }
 
-// All controllers have ended in an outage: nobody knows what was cancelled before.
+// All controllers have ended in an outage: none knows what was cancelled before.
 TEST_F(FencerTest, UninformedControllerFencesSilentMachinesAfterHalfTheCancelDeadline) {
     cut_off_from_store = true;
-    holds = {{"n-1", {"run-1"}}, {"n-2", {"run-2"}}, {"n-3", {"run-3"}}};
+    running = {{"n-1", {"run-1"}}, {"n-2", {"run-2"}}, {"n-3", {"run-3"}}};
     hanging = {"n-1", "n-2"};
     pass(Seconds(5));
     fencer.heartbeat_received("n-1");  // it hangs since
     pass(cancel() * 0.5 - Seconds(18));
-    EXPECT_TRUE(asked.empty());
+    EXPECT_TRUE(probed.empty());
     pass(Seconds(8));
-    EXPECT_EQ(returned, std::set<std::string>{"n-2"}) << "what hangs since it was heard loses its lease first";
+    EXPECT_EQ(released, std::set<std::string>{"n-2"})
+        << "a machine that hangs since its heartbeat loses its lease first";
     cut_off_from_store = false;
     pass(cancel());
-    EXPECT_EQ(returned, std::set<std::string>{"n-2"});
+    EXPECT_EQ(released, std::set<std::string>{"n-2"});
 }
 
 }  // namespace flintdale::test
--- a/tests/known_jobs_test.cpp
+++ b/tests/known_jobs_test.cpp
@@ -1,4 +1,4 @@
-// What a controller knows of jobs without asking, and what it drops.
+// What a controller keeps of the jobs that it has read, and what it evicts.
 #include "api/known_jobs.hpp"
 
 #include <gtest/gtest.h>
@@ -35,12 +35,12 @@
 
 TEST(KnownJobsTest, HeldEvidenceDoesNotChange) {
     KnownJobs known(1);
-    const auto held = known.learn("run-1", job(JobState::open));
+    const auto evidence = known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::open));
     known.forget_open();
     EXPECT_EQ(known.size(), 0u);
-    EXPECT_EQ(held->state, JobState::open);
-    EXPECT_EQ(held->size.tasks, 3u);
+    EXPECT_EQ(evidence->state, JobState::open);
+    EXPECT_EQ(evidence->size.tasks, 3u);
 }
 
 TEST(KnownJobsTest, AfterARecoveryOnlyFinishedJobsAreStillKnown) {
