--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -328,7 +328,7 @@
         b.member = settings_.member;
         b.leader = elector_.leader();
         b.term = elector_.term();
-        b.state_ok = ports_.state.healthy(Clock::now());
+        b.store_healthy = ports_.state.healthy(Clock::now());
         b.leading = elector_.leading();
         b.writes = ports_.state.take_write_demand();
         b.format = static_cast<std::uint32_t>(record_format_.format());
@@ -339,7 +339,7 @@
         const auto records = recovery_.own_status();
         b.generation = records.generation;
         b.history = records.id;
-        b.remembers = records.remembers;
+        b.replica_revision = records.remembers;
         b.rebuilding = records.rebuilding;
         b.incarnation = incarnation_;
         b.cancellations = cancellations_.make_report(Clock::now());
@@ -392,18 +392,18 @@
 
 void Controller::received(const peer::StatusMessage& status) {
     using From = peer::Incarnations::From;
-    const auto from = incarnations_.heard(status.member, status.incarnation, status.connection);
-    if (from == From::former) return;  // held on its way: what it says of itself is true of nobody
+    const auto from = incarnations_.classify(status.member, status.incarnation, status.connection);
+    if (from == From::previous) return;  // held on its way: what it says of itself is true of nobody
     if (from == From::next) peer_state_.erase(status.member);
-    for (const auto& uid : status.cancellations.lately) note_cancelled(uid);
+    for (const auto& uid : status.cancellations.recent) note_cancelled(uid);
     cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
     elector_.observe_term(status.term, status.leader);
     record_format_.all_read(status.format);
     recovery_.peer_status_received(status.member,
-                                   {status.generation, status.remembers, status.history, status.rebuilding, {}});
+                                   {status.generation, status.replica_revision, status.history, status.rebuilding, {}});
     auto& peer = peer_state_[status.member];
     peer = {Clock::now(),
-            status.state_ok,
+            status.store_healthy,
             status.leading,
             status.writes,
             peer.redirects * redirects_kept + status.redirects,
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -177,7 +177,7 @@
 }
 
 void HeartbeatService::relay_message_received(const peer::RelayMessage& message) {
-    if (message.to != incarnation_) return;  // meant for the process before this one
+    if (message.receiver_incarnation != incarnation_) return;  // meant for the process before this one
     relay_.answered(message, callbacks_.newest_term());
     for (const auto& r : message.reports) {
         relayed_.keep(message.member, message.incarnation, r);
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -3,27 +3,34 @@
 #include <spdlog/spdlog.h>
 
 #include "model/machine.hpp"
+#include "wire/decode_error.hpp"
 
 namespace flintdale::cloud {
 
 using model::Clock;
 
 namespace {
-constexpr std::chrono::milliseconds too_late{1500};
+
+constexpr std::size_t kept_connections = 4;
+constexpr double interval_margin = 1.15;              // times the interval that the limit allows
+constexpr std::chrono::milliseconds max_delay{1500};  // of a request after its turn
+constexpr std::chrono::seconds request_limit{5};
+
 }  // namespace
 
-HttpCloud::HttpCloud(net::Executor ex, const config::Settings& s)
-    : http_(ex, s.cloud.host, s.cloud.port, 4), gap_(model::to_clock(model::Seconds(1.15 / s.cloud_requests_per_s))) {}
+HttpCloud::HttpCloud(net::Executor ex, const config::Settings& settings)
+    : http_(ex, settings.cloud.host, settings.cloud.port, kept_connections),
+      interval_(model::to_clock(model::Seconds(interval_margin / settings.cloud_requests_per_s))) {}
 
 awaitable<net::HttpAnswer> HttpCloud::call(net::http::verb verb, std::string target, std::string body) {
     // Evenly spaced, which keeps any window within the limit without counting on the burst.
     const auto now = Clock::now();
-    const auto at = std::max(now, next_);
-    next_ = at + gap_;
-    if (at > now) co_await net::sleep_for(at - now);
-    // This process stood still meanwhile, and what the caller made sure of before may no longer hold.
-    if (Clock::now() - at > too_late) co_return net::HttpAnswer{};
-    co_return co_await http_.request(verb, std::move(target), std::move(body), std::chrono::seconds(5));
+    const auto turn = std::max(now, next_turn_);
+    next_turn_ = turn + interval_;
+    if (turn > now) co_await net::sleep_for(turn - now);
+    // The process has paused meanwhile, and what the caller checked before may no longer hold.
+    if (Clock::now() - turn > max_delay) co_return net::HttpAnswer{};
+    co_return co_await http_.request(verb, std::move(target), std::move(body), request_limit);
 }
 
 awaitable<std::optional<std::vector<model::MachineType>>> HttpCloud::catalog() {
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -1,8 +1,9 @@
-// What tasks ask for and machines have.
+// The resources that tasks need and machines have.
 #pragma once
 
 namespace flintdale::model {
 
+// CPU cores, accelerators and gigabytes of memory.
 struct Resources {
     double cpus = 0, gpus = 0, memory_gb = 0;
 };
--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -18,8 +18,8 @@
 using asio::awaitable;
 using Executor = asio::any_io_executor;
 
-// Timers by the same clock as everything else. Under an emulated time the reactor must not sleep: it looks at its
-// timers whenever it is polled.
+// Makes timers go by model::Clock. In simulated time the reactor must not sleep: it checks its timers whenever it is
+// polled.
 struct WaitTraits {
     // How long until the earliest timer of the reactor that asked last.
     static inline thread_local model::Clock::duration earliest{};
@@ -32,11 +32,13 @@
         return to_wait_duration(t - model::Clock::now());
     }
 };
+// A timer that goes by model::Clock.
 using Timer = asio::basic_waitable_timer<model::Clock, WaitTraits>;
 
+// Completion token: the coroutine gets the error code as a result instead of an exception.
 inline constexpr auto quietly = asio::experimental::as_tuple(asio::use_awaitable);
 
-// Waits; false if the wait was cancelled.
+// Waits for the duration; false if the wait was cancelled.
 inline awaitable<bool> sleep_for(model::Clock::duration d) {
     auto ex = co_await asio::this_coro::executor;
     Timer timer(ex);
@@ -45,7 +47,7 @@
     co_return !ec;
 }
 
-// Wakes one waiting coroutine early; a signal that comes while nobody waits is kept.
+// Wakes one waiting coroutine early. A notification that comes while none waits is kept for the next wait.
 class Wakeup {
   public:
     explicit Wakeup(Executor ex) : timer_(ex) {}
@@ -53,9 +55,10 @@
         pending_ = true;
         timer_.cancel();
     }
-    awaitable<void> wait(model::Clock::duration most) {
+    // Returns after a notification, or after `timeout`.
+    awaitable<void> wait(model::Clock::duration timeout) {
         if (!pending_) {
-            timer_.expires_after(most);
+            timer_.expires_after(timeout);
             auto [ec] = co_await timer_.async_wait(quietly);
             (void)ec;
         }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -7,27 +7,37 @@
 namespace flintdale::net {
 
 namespace {
-constexpr std::size_t body_limit = 64 * 1024;
-constexpr std::uint32_t header_limit = 16 * 1024;
-constexpr std::chrono::seconds idle_limit{120};
-constexpr std::chrono::seconds request_limit{10};
+
+constexpr unsigned http_1_1 = 11;
+constexpr int backlog = 1024;
+constexpr std::size_t body_limit = 64 * 1024;      // bytes
+constexpr std::uint32_t header_limit = 16 * 1024;  // bytes
+constexpr std::chrono::seconds idle_limit{120};    // until a request begins
+constexpr std::chrono::seconds request_limit{10};  // from its first byte to its last
 constexpr std::chrono::seconds write_limit{10};
+constexpr std::chrono::milliseconds accept_retry_delay{50};
+
+http::response<http::string_body> to_response(Reply reply, unsigned version, bool keep_alive) {
+    http::response<http::string_body> response(static_cast<http::status>(reply.status), version);
+    response.set(http::field::content_type, "application/json");
+    if (reply.retry_after) response.set(http::field::retry_after, std::to_string(reply.retry_after));
+    if (!reply.allow.empty()) response.set(http::field::allow, reply.allow);
+    response.keep_alive(keep_alive);
+    response.body() = std::move(reply.body);
+    response.prepare_payload();
+    return response;
+}
 
-http::response<http::string_body> to_response(Reply reply, unsigned version, bool keep) {
-    http::response<http::string_body> res(static_cast<http::status>(reply.status), version);
-    res.set(http::field::content_type, "application/json");
-    if (reply.retry_after) res.set(http::field::retry_after, std::to_string(reply.retry_after));
-    if (!reply.allow.empty()) res.set(http::field::allow, reply.allow);
-    res.keep_alive(keep);
-    res.body() = std::move(reply.body);
-    res.prepare_payload();
-    return res;
+bool is_end_of_connection(const boost::system::error_code& ec) {
+    return ec == http::error::end_of_stream || ec == beast::error::timeout || ec == asio::error::connection_reset ||
+           ec == asio::error::operation_aborted;
 }
+
 }  // namespace
 
 HttpServer::HttpServer(Executor ex, std::string host, std::uint16_t port, std::size_t max_connections, Handler handler)
     : ex_(ex), acceptor_(ex), max_connections_(max_connections), handler_(std::move(handler)) {
-    listen_when_free(acceptor_, host, port, 1024);
+    listen_when_free(acceptor_, host, port, backlog);
 }
 
 void HttpServer::start() { asio::co_spawn(ex_, accept_loop(), asio::detached); }
@@ -44,7 +54,7 @@
         if (ec) {
             // Out of sockets, most likely: wait for some to close instead of spinning.
             spdlog::debug("event=accept_failed why=\"{}\"", ec.message());
-            co_await sleep_for(std::chrono::milliseconds(50));
+            co_await sleep_for(accept_retry_delay);
             continue;
         }
         if (connections_ >= max_connections_) continue;  // closed at once
@@ -65,59 +75,76 @@
     --connections_;
 }
 
+awaitable<HttpServer::ReadResult> HttpServer::read_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
+                                                           Parser& parser) {
+    stream.expires_after(idle_limit);
+    if (buffer.size() == 0) {
+        // Wait for the first byte under the long limit, for the rest under the short one: a client that sends its
+        // request byte by byte occupies a session for seconds, not minutes.
+        auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, quietly);
+        if (wec) co_return ReadResult::connection_ended;
+    }
+    stream.expires_after(request_limit);
+    auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, quietly);
+    if (!ec) {
+        ++traffic_.requests;
+        traffic_.bytes_in += bytes;
+        co_return ReadResult::complete;
+    }
+    if (is_end_of_connection(ec)) co_return ReadResult::connection_ended;
+    co_return ec == http::error::body_limit ? ReadResult::body_too_large : ReadResult::malformed;
+}
+
+awaitable<void> HttpServer::reject(beast::tcp_stream& stream, ReadResult reason) {
+    Reply reply;
+    reply.status = 400;
+    reply.body = reason == ReadResult::body_too_large ? "{\"error\":\"body: over 64 KiB\"}"
+                                                      : "{\"error\":\"request: malformed\"}";
+    auto response = to_response(std::move(reply), http_1_1, false);
+    stream.expires_after(write_limit);
+    co_await http::async_write(stream, response, quietly);
+    boost::system::error_code ignored;
+    stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
+}
+
+awaitable<Reply> HttpServer::handle(Request request) {
+    Reply reply;
+    try {
+        reply = co_await handler_(std::move(request));
+    } catch (const std::exception& e) {
+        spdlog::error("event=handler_failed why=\"{}\"", e.what());
+        reply.status = 503;
+        reply.body = "{\"error\":\"internal\"}";
+        reply.retry_after = 1;
+    }
+    co_return reply;
+}
+
 awaitable<void> HttpServer::serve(beast::tcp_stream& stream) {
     beast::flat_buffer buffer(body_limit + header_limit);
     for (;;) {
-        http::request_parser<http::string_body> parser;
+        Parser parser;
         parser.body_limit(body_limit);
         parser.header_limit(header_limit);
-        stream.expires_after(idle_limit);
-        if (buffer.size() == 0) {
-            // Wait for the first byte under the long limit, for the rest under the short one: a peer that
-            // dribbles its request holds a session for seconds, not minutes.
-            auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, quietly);
-            if (wec) co_return;
-        }
-        stream.expires_after(request_limit);
-        auto [ec, n] = co_await http::async_read(stream, buffer, parser, quietly);
-        if (ec) {
-            if (ec == http::error::end_of_stream || ec == beast::error::timeout ||
-                ec == asio::error::connection_reset || ec == asio::error::operation_aborted)
-                co_return;
-            Reply reply;
-            reply.status = 400;
-            reply.body = ec == http::error::body_limit ? "{\"error\":\"body: over 64 KiB\"}"
-                                                       : "{\"error\":\"request: malformed\"}";
-            auto res = to_response(std::move(reply), 11, false);
-            stream.expires_after(write_limit);
-            co_await http::async_write(stream, res, quietly);
-            boost::system::error_code ignored;
-            stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
+        const auto result = co_await read_request(stream, buffer, parser);
+        if (result == ReadResult::connection_ended) co_return;
+        if (result != ReadResult::complete) {
+            co_await reject(stream, result);
             co_return;
         }
         auto& message = parser.get();
-        ++traffic_.requests;
-        traffic_.bytes_in += n;
-        const bool keep = message.keep_alive();
+        const bool keep_alive = message.keep_alive();
         const unsigned version = message.version();
         Request request;
         request.verb = message.method();
         request.target = std::string(message.target());
         request.body = std::move(message.body());
-        Reply reply;
-        try {
-            reply = co_await handler_(std::move(request));
-        } catch (const std::exception& e) {
-            spdlog::error("event=handler_failed why=\"{}\"", e.what());
-            reply.status = 503;
-            reply.body = "{\"error\":\"internal\"}";
-            reply.retry_after = 1;
-        }
-        auto res = to_response(std::move(reply), version, keep);
+        auto reply = co_await handle(std::move(request));
+        auto response = to_response(std::move(reply), version, keep_alive);
         stream.expires_after(write_limit);
-        auto [wec, written] = co_await http::async_write(stream, res, quietly);
+        auto [wec, written] = co_await http::async_write(stream, response, quietly);
         traffic_.bytes_out += written;
-        if (wec || !keep) co_return;
+        if (wec || !keep_alive) co_return;
     }
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,6 +1,8 @@
 // An HTTP/1.1 server with bounded bodies, time limits and a bounded number of connections.
 #pragma once
+#include <cstdint>
 #include <functional>
+#include <string>
 
 #include "net/asio.hpp"
 
@@ -13,31 +15,45 @@
 
 struct Reply {
     unsigned status = 200;
-    std::string body;
-    unsigned retry_after = 0;  // seconds; 0: not said
-    std::string allow;         // for 405
+    std::string body;          // JSON
+    unsigned retry_after = 0;  // seconds, for the header field; 0: without it
+    std::string allow;         // the header field of status 405; empty: without it
 };
 
-// What a server has taken and given since it began.
+// What a server has received and sent since it began.
 struct Traffic {
     std::uint64_t requests = 0, bytes_in = 0, bytes_out = 0;
 };
 
 class HttpServer {
   public:
+    // Answers one request. If it throws, the answer is status 503.
     using Handler = std::function<awaitable<Reply>(Request)>;
 
+    // Binds the address; throws std::runtime_error if it cannot. Connections above the limit are closed at once.
     HttpServer(Executor ex, std::string host, std::uint16_t port, std::size_t max_connections, Handler handler);
+
+    // Starts to accept connections.
     void start();
-    // Accepts nothing more. Connections that are open stay so, and the server must outlive them.
+
+    // Accepts nothing more. Open connections stay open, and the server must outlive them.
     void stop();
+
     const Traffic& traffic() const { return traffic_; }
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
+    using Parser = http::request_parser<http::string_body>;
+    enum class ReadResult : std::uint8_t { complete, connection_ended, malformed, body_too_large };
+
     awaitable<void> accept_loop();
     awaitable<void> session(tcp::socket socket);
+    // Answers the requests of one connection until it ends.
     awaitable<void> serve(beast::tcp_stream& stream);
+    awaitable<ReadResult> read_request(beast::tcp_stream& stream, beast::flat_buffer& buffer, Parser& parser);
+    // Answers status 400 and ends the connection.
+    awaitable<void> reject(beast::tcp_stream& stream, ReadResult reason);
+    awaitable<Reply> handle(Request request);
 
     Executor ex_;
     tcp::acceptor acceptor_;
--- a/src/peer/heartbeat_relay.cpp
+++ b/src/peer/heartbeat_relay.cpp
@@ -1,38 +1,39 @@
 #include "peer/heartbeat_relay.hpp"
 
-#include "model/heartbeat.hpp"
-
 namespace flintdale::peer {
 
 using namespace std::chrono_literals;
 using model::Clock;
 
 namespace {
-// A worker waits for four seconds, and its answer needs time for the way back.
-constexpr auto patience = 3400ms;
-constexpr std::size_t reports_a_socket = 2;  // remembered, for the workers that may be connected at once
 
-bool same_but_for_tick(const model::Heartbeat& a, model::Heartbeat b) {
+// A worker waits for four seconds, and its response needs time for the way back.
+constexpr auto response_timeout = 3400ms;
+// Remembered for each of the workers that may be connected at a time.
+constexpr std::size_t cached_heartbeats_per_socket = 2;
+
+bool equal_but_for_sequence(const model::Heartbeat& a, model::Heartbeat b) {
     b.sequence = a.sequence;
     return a == b;
 }
+
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send)
     : ex_(ex), settings_(settings), incarnation_(incarnation), send_(std::move(send)) {
     outbox_ = std::make_shared<RelayOutbox>(
         ex_, [this](const RelayMessage& message) { return leader_ && send_(leader_->member, message); },
-        [this](const RelayMessage& message) { not_sent(message); });
+        [this](const RelayMessage& message) { send_failed(message); });
 }
 
 void HeartbeatRelay::follow(const std::optional<Leader>& leader) {
     if (leader != leader_) {
-        // Another leader, or another term of it, has decided on nothing that was sent before.
+        // Another leader, or the same one in another term, has decided on nothing that was sent before.
         forget_sent();
         leader_ = leader;
         if (leader_) outbox_->address(settings_.member, incarnation_, leader_->incarnation);
     }
-    if (leader_) send_waiting();
+    if (leader_) send_unsent();
 }
 
 void HeartbeatRelay::link_lost(const std::string& member) {
@@ -40,92 +41,92 @@
     forget_sent();
 }
 
-// Whatever waits has to be sent anew, and in full.
 void HeartbeatRelay::forget_sent() {
-    held_.clear();
-    for (auto& [number, waiting] : waiting_) waiting->sent = false;
+    cached_by_leader_.clear();
+    for (auto& [number, pending] : pending_) pending->sent = false;
 }
 
-void HeartbeatRelay::send_waiting() {
-    for (auto& [number, waiting] : waiting_)
-        if (!waiting->sent) send(number, *waiting);
+void HeartbeatRelay::send_unsent() {
+    for (auto& [number, pending] : pending_)
+        if (!pending->sent) send(number, *pending);
 }
 
-HeartbeatRelay::Held& HeartbeatRelay::held(const std::string& machine) {
-    if (held_.size() > settings_.max_sockets * reports_a_socket) held_.clear();
-    auto [it, fresh] = held_.try_emplace(machine);
-    if (fresh) it->second.handle = ++handles_;
+HeartbeatRelay::CachedByLeader& HeartbeatRelay::cached_by_leader(const std::string& machine) {
+    if (cached_by_leader_.size() > settings_.max_sockets * cached_heartbeats_per_socket) cached_by_leader_.clear();
+    auto [it, is_new] = cached_by_leader_.try_emplace(machine);
+    if (is_new) it->second.handle = ++last_handle_;
     return it->second;
 }
 
-void HeartbeatRelay::send(std::uint64_t number, Waiting& waiting) {
-    waiting.sent = true;
-    auto& known = held(waiting.report.machine);
-    if (known.report && same_but_for_tick(*known.report, waiting.report)) {
-        waiting.full = known.full;
-        outbox_->add(RepeatedHeartbeat{number, known.handle, waiting.report.sequence, known.full});
+void HeartbeatRelay::send(std::uint64_t number, PendingHeartbeat& pending) {
+    pending.sent = true;
+    auto& cached = cached_by_leader(pending.heartbeat.machine);
+    if (cached.heartbeat && equal_but_for_sequence(*cached.heartbeat, pending.heartbeat)) {
+        pending.original = cached.original;
+        outbox_->add(RepeatedHeartbeat{number, cached.handle, pending.heartbeat.sequence, cached.original});
         return;
     }
     // Not repeated before the leader is known to have this one.
-    known.report.reset();
-    waiting.full = number;
-    outbox_->add(RelayedHeartbeat{number, known.handle, waiting.report});
+    cached.heartbeat.reset();
+    pending.original = number;
+    outbox_->add(RelayedHeartbeat{number, cached.handle, pending.heartbeat});
 }
 
-void HeartbeatRelay::not_sent(const RelayMessage& message) {
-    const auto again = [&](std::uint64_t number) {
-        if (const auto it = waiting_.find(number); it != waiting_.end()) it->second->sent = false;
+void HeartbeatRelay::send_failed(const RelayMessage& message) {
+    const auto send_again = [&](std::uint64_t number) {
+        if (const auto it = pending_.find(number); it != pending_.end()) it->second->sent = false;
     };
-    for (const auto& r : message.reports) again(r.number);
-    for (const auto& r : message.repeated) again(r.number);
+    for (const auto& heartbeat : message.reports) send_again(heartbeat.number);
+    for (const auto& heartbeat : message.repeated) send_again(heartbeat.number);
 }
 
-void HeartbeatRelay::end(Waiting& waiting) {
-    waiting.over = true;
-    waiting.timer.cancel();
+void HeartbeatRelay::finish(PendingHeartbeat& pending) {
+    pending.finished = true;
+    pending.timer.cancel();
 }
 
 void HeartbeatRelay::answered(const RelayMessage& message, std::uint64_t newest_term) {
-    if (!leader_ || message.member != leader_->member || message.incarnation != leader_->incarnation ||
-        message.to != incarnation_)
+    if (!leader_ || message.member != leader_->member || message.incarnation != leader_->incarnation) return;
+    if (message.receiver_incarnation != incarnation_) return;
+    for (const auto& answer : message.answers) answer_received(answer, newest_term);
+}
+
+void HeartbeatRelay::answer_received(const RelayedResponse& answer, std::uint64_t newest_term) {
+    const auto it = pending_.find(answer.number);
+    if (it == pending_.end() || it->second->finished || !it->second->sent) return;
+    auto& pending = *it->second;
+    if (answer.outcome == RelayOutcome::unknown_handle) {
+        cached_by_leader(pending.heartbeat.machine).heartbeat.reset();
+        send(answer.number, pending);
         return;
-    for (const auto& answer : message.answers) {
-        const auto it = waiting_.find(answer.number);
-        if (it == waiting_.end() || it->second->over || !it->second->sent) continue;
-        auto& waiting = *it->second;
-        if (answer.outcome == RelayOutcome::unknown_handle) {
-            held(waiting.report.machine).report.reset();
-            send(answer.number, waiting);
-            continue;
-        }
-        // It may have won another term since it was last heard.
-        const bool current = answer.fencing_token >= leader_->term && answer.fencing_token >= newest_term;
-        if (answer.outcome == RelayOutcome::answered && current) {
-            // Another report of this worker, a late copy perhaps, may have been sent meanwhile: what is repeated is
-            // named.
-            auto& known = held(waiting.report.machine);
-            known.full = waiting.full;
-            known.report = waiting.report;
-            waiting.answer = LeaderResponse{answer.fencing_token, answer.commands};
-        }
-        end(waiting);
     }
+    // The leader may have won another term since its last status message.
+    const bool current = answer.fencing_token >= leader_->term && answer.fencing_token >= newest_term;
+    if (answer.outcome == RelayOutcome::answered && current) {
+        // Another heartbeat of this worker, a delayed copy perhaps, may have been sent meanwhile. Therefore a repeated
+        // heartbeat names the one that it repeats.
+        auto& cached = cached_by_leader(pending.heartbeat.machine);
+        cached.original = pending.original;
+        cached.heartbeat = pending.heartbeat;
+        pending.response = LeaderResponse{answer.fencing_token, answer.commands};
+    }
+    finish(pending);
 }
 
-awaitable<std::optional<LeaderResponse>> HeartbeatRelay::relay(model::Heartbeat report) {
-    if (waiting_.size() >= settings_.max_sockets) co_return std::nullopt;
-    const auto number = ++numbers_;
-    const auto waiting = std::make_shared<Waiting>(ex_, std::move(report));
-    waiting_[number] = waiting;
-    waiting->timer.expires_after(patience);
-    if (leader_) send(number, *waiting);
-    if (!waiting->over) {
-        auto [ec] = co_await waiting->timer.async_wait(net::quietly);
+awaitable<std::optional<LeaderResponse>> HeartbeatRelay::relay(model::Heartbeat heartbeat) {
+    if (pending_.size() >= settings_.max_sockets) co_return std::nullopt;
+    const auto number = ++last_number_;
+    const auto pending = std::make_shared<PendingHeartbeat>(ex_, std::move(heartbeat));
+    pending_[number] = pending;
+    pending->timer.expires_after(response_timeout);
+    if (leader_) send(number, *pending);
+    if (!pending->finished) {
+        auto [ec] = co_await pending->timer.async_wait(net::quietly);
         (void)ec;
     }
-    waiting->over = true;
-    waiting_.erase(number);
-    co_return std::move(waiting->answer);
+    pending->finished = true;
+    pending_.erase(number);
+    co_return std::move(pending->response);
 }
 
 }  // namespace flintdale::peer
--- a/src/peer/peer_connections.hpp
+++ b/src/peer/peer_connections.hpp
@@ -1,95 +1,88 @@
-// Controllers tell each other who leads, how they fare and what users may see of open jobs.
+// The connections between the controllers of a cluster: one outgoing connection to each peer, on which this controller
+// sends, and the accepted ones, on which it receives. Messages may be lost when a connection breaks.
+//
+// A frame is three bytes of size (little endian), one byte of kind, and the message. Each frame is answered by one
+// byte, the receipt.
 #pragma once
 #include <functional>
-#include <map>
+#include <memory>
+#include <string>
+#include <vector>
 
 #include "config/settings.hpp"
 #include "net/asio.hpp"
-#include "peer/cancellations.hpp"
 #include "peer/relay_message.hpp"
+#include "peer/status_message.hpp"
 
 namespace flintdale::peer {
 
 using net::awaitable;
 
-struct JobCount {
-    std::string uid;
-    std::uint32_t done = 0, running = 0;
-};
-
-struct StatusMessage {
-    std::string member, leader;
-    std::uint64_t term = 0;
-    bool state_ok = false, leading = false;
-    double writes = 0;            // to the state service, that it lately asked for
-    std::uint32_t redirects = 0;  // reports that it turned away to the leader since its last message
-    std::uint32_t format = 0;     // that it knows every controller to read
-    // What it remembers of the records of jobs: see recovery::RecoveryCoordinator.
-    std::uint64_t generation = 0, remembers = 0, rebuilding = 0;
-    std::string history;
-    std::vector<JobCount> counts;
-    // Relays (app::WorkerAssignment): whether it takes part, the workers that report to it and that may, and, from the
-    // leader, the machines that it knows of.
-    bool relays = false;
-    std::uint32_t workers = 0, capacity = 0, fleet = 0;
-    CancellationReport cancellations;
-    std::uint64_t incarnation = 0;  // of the sender: each time that it is started another; 0 from versions without
-    std::uint64_t connection = 0;   // not on the wire: which of those accepted here it came on
-};
-
-std::string encode(const StatusMessage& status);
-StatusMessage decode(const std::string& bytes);  // throws on nonsense
-
 class PeerConnections {
   public:
+    // Callbacks. `relay` and `lost` are optional.
     struct Receive {
         std::function<void(const StatusMessage&)> status;
         std::function<void(const RelayMessage&)> relay;
-        std::function<void(const std::string& member)> lost;  // what was sent to it last may not have come
+        // The connection to this member has broken: what was sent last may not have arrived.
+        std::function<void(const std::string& member)> lost;
     };
+
+    // Binds the address for peers; throws std::runtime_error if it cannot. `settings` must outlive the object.
     PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive);
+
+    // Starts to accept connections and to connect to all peers.
     void start();
-    // Sends it to that controller; false if it cannot be reached now, or too much waits for it already.
+
+    // Queues the message for that controller; false if it is not connected, or too much waits for it already.
     bool send_relay_message(const std::string& member, const RelayMessage& message);
-    // Says it to every peer that can be reached now; nothing is kept for those that cannot.
+
+    // Queues the message for every peer that is connected. Nothing is kept for the others; a peer that does not read
+    // gets the newest message only.
     void broadcast(const StatusMessage& status);
 
   private:
-    struct Out {
-        Out(net::Executor ex, std::string m) : wake(ex), member(std::move(m)) {}
-        net::Wakeup wake;
-        std::string member;
+    enum class FrameKind : std::uint8_t { status = 0, relay = 1 };
+
+    struct OutgoingConnection {
         struct Queue {
-            std::string bytes;
-            std::size_t frames = 0;
             void clear() {
                 bytes.clear();
                 frames = 0;
             }
+            std::string bytes;
+            std::size_t frames = 0;
         };
-        Queue status_messages, relayed;
-        bool connected = false;
+        OutgoingConnection(net::Executor ex, std::string m) : wake(ex), member(std::move(m)) {}
         void add(Queue& queue, const std::string& frame) {
             queue.bytes += frame;
             ++queue.frames;
             wake.notify();
         }
+        net::Wakeup wake;
+        std::string member;
+        Queue status_messages, relay_messages;
+        bool connected = false;
     };
-    enum class Frame : std::uint8_t { status = 0, relay = 1 };
-    static std::string frame(Frame kind, const std::string& bytes);
-    void received(Frame kind, const std::string& body, std::uint64_t connection);
-    awaitable<void> send_loop(net::beast::tcp_stream& stream, Out& out);
+
+    static std::string make_frame(FrameKind kind, const std::string& message);
+    // Connects to the peer, and again each time that the connection breaks.
+    awaitable<void> connect_loop(config::Peer peer, std::shared_ptr<OutgoingConnection> connection);
+    // Sends what is queued; returns when the connection has broken.
+    awaitable<void> send_loop(net::beast::tcp_stream& stream, OutgoingConnection& connection);
     awaitable<void> accept_loop();
-    awaitable<void> session(net::tcp::socket socket);
-    awaitable<void> dial_loop(config::Peer peer, std::shared_ptr<Out> out);
+    // Reads frames from an accepted connection until it breaks or a frame is invalid.
+    awaitable<void> receive_loop(net::tcp::socket socket);
+    // Throws if the message is invalid.
+    void received(FrameKind kind, const std::string& message, std::uint64_t connection);
 
     net::Executor ex_;
     net::tcp::acceptor acceptor_;
     const config::Settings& settings_;
     Receive receive_;
-    std::vector<std::shared_ptr<Out>> outs_;
-    std::size_t sessions_ = 0;
-    std::uint64_t accepted_ = 0;
+    std::vector<std::shared_ptr<OutgoingConnection>> outgoing_;
+    std::size_t open_incoming_ = 0;
+    std::uint64_t accepted_ = 0;  // connections accepted so far
 };
 
 }  // namespace flintdale::peer
--- a/src/peer/relay_message.hpp
+++ b/src/peer/relay_message.hpp
@@ -1,5 +1,6 @@
-// What a controller that relays workers' reports and the leader tell each other.
+// The messages between a follower that relays workers' heartbeats and the leader, and their codec (wire/relay.capnp).
 #pragma once
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -8,37 +9,38 @@
 
 namespace flintdale::peer {
 
+// A heartbeat in full.
 struct RelayedHeartbeat {
-    std::uint64_t number = 0;  // of the sender's incarnation; the answer bears it
-    std::uint32_t handle = 0;  // under which this report may be repeated
+    std::uint64_t number = 0;  // counted by the sender's incarnation; the response has the same number
+    std::uint32_t handle = 0;  // stands for the machine and this heartbeat when it is repeated
     model::Heartbeat report;
 };
 
-// The worker reports the same as under that handle, but for its tick.
+// A heartbeat that equals an earlier one under the same handle but for its sequence number.
 struct RepeatedHeartbeat {
     std::uint64_t number = 0;
     std::uint32_t handle = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t full = 0;  // the number of the report that is meant
+    std::uint64_t original = 0;  // number of the heartbeat in full that is repeated
 };
 
 enum class RelayOutcome : std::uint8_t {
     answered,
-    refused,         // not entitled to answer, or the report is older than what is known
-    unknown_handle,  // the report has to be sent in full
+    refused,         // the receiver may not answer, or the heartbeat is older than one that it knows
+    unknown_handle,  // the heartbeat has to be sent in full
 };
 
 struct RelayedResponse {
-    std::uint64_t number = 0;
+    std::uint64_t number = 0;  // of the heartbeat
     RelayOutcome outcome = RelayOutcome::refused;
     std::uint64_t fencing_token = 0;
     std::vector<model::Command> commands;
 };
 
 struct RelayMessage {
-    std::string member;             // who sends
-    std::uint64_t incarnation = 0;  // of the sender
-    std::uint64_t to = 0;           // incarnation of the receiver that is meant
+    std::string member;                      // the sender
+    std::uint64_t incarnation = 0;           // of the sender
+    std::uint64_t receiver_incarnation = 0;  // another incarnation of the receiver must ignore the message
     std::vector<RelayedHeartbeat> reports;
     std::vector<RepeatedHeartbeat> repeated;
     std::vector<RelayedResponse> answers;
@@ -46,6 +48,8 @@
 };
 
 std::string encode(const RelayMessage& message);
-RelayMessage decode_relay(const std::string& bytes);  // throws std::runtime_error on nonsense
+
+// Throws std::runtime_error if the bytes are no such message.
+RelayMessage decode_relay(const std::string& bytes);
 
 }  // namespace flintdale::peer
--- a/src/peer/relay_outbox.cpp
+++ b/src/peer/relay_outbox.cpp
@@ -5,66 +5,75 @@
 using model::Clock;
 
 namespace {
+
 constexpr std::chrono::milliseconds window{20};
-constexpr std::size_t most_bytes = 256 * 1024;  // of a message, about; a link takes four times as much
-constexpr std::size_t report_bytes = 200, task_bytes = 72, repeated_bytes = 24, answer_bytes = 32, order_bytes = 64;
+// Of a message, estimated; a connection takes four times as much.
+constexpr std::size_t max_bytes = 256 * 1024;
+// Estimated sizes of what a message holds.
+constexpr std::size_t heartbeat_bytes = 200, task_bytes = 72, repeated_bytes = 24, response_bytes = 32,
+                      command_bytes = 64;
+
 }  // namespace
 
 RelayOutbox::RelayOutbox(net::Executor ex, Send send, Failed failed)
     : ex_(ex), send_(std::move(send)), failed_(std::move(failed)) {}
 
-void RelayOutbox::address(const std::string& member, std::uint64_t incarnation, std::uint64_t to) {
-    if (gathered_.to != to) {
-        gathered_ = {};
-        bytes_ = 0;
+void RelayOutbox::address(const std::string& member, std::uint64_t incarnation, std::uint64_t receiver_incarnation) {
+    if (collected_.receiver_incarnation != receiver_incarnation) {
+        collected_ = {};
+        collected_bytes_ = 0;
     }
-    gathered_.member = member;
-    gathered_.incarnation = incarnation;
-    gathered_.to = to;
+    collected_.member = member;
+    collected_.incarnation = incarnation;
+    collected_.receiver_incarnation = receiver_incarnation;
 }
 
-void RelayOutbox::add(RelayedHeartbeat report) {
-    const auto bytes = report_bytes + task_bytes * report.report.tasks.size();
-    gathered_.reports.push_back(std::move(report));
+void RelayOutbox::add(RelayedHeartbeat heartbeat) {
+    const auto bytes = heartbeat_bytes + task_bytes * heartbeat.report.tasks.size();
+    collected_.reports.push_back(std::move(heartbeat));
     added(bytes);
 }
 
-void RelayOutbox::add(const RepeatedHeartbeat& report) {
-    gathered_.repeated.push_back(report);
+void RelayOutbox::add(const RepeatedHeartbeat& heartbeat) {
+    collected_.repeated.push_back(heartbeat);
     added(repeated_bytes);
 }
 
-void RelayOutbox::add(RelayedResponse answer) {
-    const auto bytes = answer_bytes + order_bytes * answer.commands.size();
-    gathered_.answers.push_back(std::move(answer));
+void RelayOutbox::add(RelayedResponse response) {
+    const auto bytes = response_bytes + command_bytes * response.commands.size();
+    collected_.answers.push_back(std::move(response));
     added(bytes);
 }
 
 void RelayOutbox::added(std::size_t bytes) {
-    bytes_ += bytes;
+    collected_bytes_ += bytes;
     const auto now = Clock::now();
-    if (bytes_ >= most_bytes || (!waiting_ && now - flushed_ >= window)) return flush();
-    if (waiting_) return;
-    waiting_ = true;
-    net::asio::co_spawn(ex_, flush_later(flushed_ + window - now), net::asio::detached);
+    const bool window_is_over = now - last_flush_ >= window;
+    if (collected_bytes_ >= max_bytes || (!flush_pending_ && window_is_over)) {
+        flush();
+        return;
+    }
+    if (flush_pending_) return;
+    flush_pending_ = true;
+    net::asio::co_spawn(ex_, flush_after(last_flush_ + window - now), net::asio::detached);
 }
 
-net::awaitable<void> RelayOutbox::flush_later(Clock::duration in) {
+net::awaitable<void> RelayOutbox::flush_after(Clock::duration delay) {
     const auto self = shared_from_this();
-    co_await net::sleep_for(in);
-    self->waiting_ = false;
+    co_await net::sleep_for(delay);
+    self->flush_pending_ = false;
     self->flush();
 }
 
 void RelayOutbox::flush() {
-    if (gathered_.empty()) return;
-    flushed_ = Clock::now();
-    bytes_ = 0;
+    if (collected_.empty()) return;
+    last_flush_ = Clock::now();
+    collected_bytes_ = 0;
     RelayMessage leaving;
-    std::swap(leaving, gathered_);
-    gathered_.member = leaving.member;
-    gathered_.incarnation = leaving.incarnation;
-    gathered_.to = leaving.to;
+    std::swap(leaving, collected_);
+    collected_.member = leaving.member;
+    collected_.incarnation = leaving.incarnation;
+    collected_.receiver_incarnation = leaving.receiver_incarnation;
     if (!send_(leaving) && failed_) failed_(leaving);
 }
 
--- a/src/peer/relay_outbox.hpp
+++ b/src/peer/relay_outbox.hpp
@@ -1,5 +1,5 @@
-// Gathers what is to be relayed to one controller, so that many reports and answers share a message: what comes first
-// leaves at once, what comes within a window of the last message leaves together at its end.
+// Collects heartbeats and responses for one controller, so that many share a message: the first one leaves at once,
+// those that come within a window after the last message leave together at its end.
 #pragma once
 #include <functional>
 #include <memory>
@@ -10,32 +10,33 @@
 
 namespace flintdale::peer {
 
+// Owned by a shared_ptr, which a delayed flush holds as well.
 class RelayOutbox : public std::enable_shared_from_this<RelayOutbox> {
   public:
-    // False if the message cannot leave now; it is dropped then.
+    // Sends a message; false if it cannot be sent now. The message is dropped then.
     using Send = std::function<bool(const RelayMessage&)>;
-    // Told of each message that could not leave.
+    // Called with each message that could not be sent.
     using Failed = std::function<void(const RelayMessage&)>;
     RelayOutbox(net::Executor ex, Send send, Failed failed = {});
 
-    // From whom and to which incarnation; what was gathered for another one is dropped.
-    void address(const std::string& member, std::uint64_t incarnation, std::uint64_t to);
-    void add(RelayedHeartbeat report);
-    void add(const RepeatedHeartbeat& report);
-    void add(RelayedResponse answer);
+    // Sets the sender and the receiver. What was collected for another incarnation of the receiver is dropped.
+    void address(const std::string& member, std::uint64_t incarnation, std::uint64_t receiver_incarnation);
+    void add(RelayedHeartbeat heartbeat);
+    void add(const RepeatedHeartbeat& heartbeat);
+    void add(RelayedResponse response);
 
   private:
     void added(std::size_t bytes);
     void flush();
-    net::awaitable<void> flush_later(model::Clock::duration in);
+    net::awaitable<void> flush_after(model::Clock::duration delay);
 
     net::Executor ex_;
     Send send_;
     Failed failed_;
-    RelayMessage gathered_;
-    std::size_t bytes_ = 0;  // of what is gathered, about
-    model::TimePoint flushed_{};
-    bool waiting_ = false;
+    RelayMessage collected_;
+    std::size_t collected_bytes_ = 0;  // an estimate
+    model::TimePoint last_flush_{};
+    bool flush_pending_ = false;
 };
 
 }  // namespace flintdale::peer
--- a/src/peer/relayed_heartbeat_cache.hpp
+++ b/src/peer/relayed_heartbeat_cache.hpp
@@ -1,4 +1,4 @@
-// What the leader keeps of relayed reports, so that one which says nothing new costs a few bytes.
+// The leader's cache of relayed heartbeats, so that one which says nothing new costs a few bytes on the wire.
 #pragma once
 #include <map>
 #include <unordered_map>
@@ -10,41 +10,46 @@
 
 class RelayedHeartbeatCache {
   public:
-    // The report may be repeated by that incarnation of the member from now on. One that came after a newer one under
-    // its handle is not kept.
-    void keep(const std::string& member, std::uint64_t incarnation, const RelayedHeartbeat& report) {
+    // From now on that incarnation of the member may repeat the heartbeat. One that arrives after a newer one under its
+    // handle is not kept.
+    void keep(const std::string& member, std::uint64_t incarnation, const RelayedHeartbeat& heartbeat) {
         auto& relay = relay_of(member, incarnation);
-        if (relay.reports.size() >= most_of_a_relay) relay.reports.clear();
-        auto& kept = relay.reports[report.handle];
-        if (kept.full < report.number) kept = {report.number, report.report};
+        if (relay.heartbeats.size() >= max_heartbeats_per_relay) relay.heartbeats.clear();
+        auto& entry = relay.heartbeats[heartbeat.handle];
+        if (entry.number < heartbeat.number) entry = {heartbeat.number, heartbeat.report};
     }
-    // The same report with a newer tick; null if the one that is meant is not known, so that it has to be sent in full.
+
+    // The heartbeat that is repeated, with the new sequence number; null if it is not in the cache, so that it has to
+    // be sent in full. Valid until the next call.
     const model::Heartbeat* repeated(const std::string& member, std::uint64_t incarnation,
-                                     const RepeatedHeartbeat& report) {
+                                     const RepeatedHeartbeat& heartbeat) {
         auto& relay = relay_of(member, incarnation);
-        const auto it = relay.reports.find(report.handle);
-        if (it == relay.reports.end() || it->second.full != report.full) return nullptr;
-        it->second.report.sequence = report.sequence;
-        return &it->second.report;
+        const auto it = relay.heartbeats.find(heartbeat.handle);
+        if (it == relay.heartbeats.end() || it->second.number != heartbeat.original) return nullptr;
+        it->second.heartbeat.sequence = heartbeat.sequence;
+        return &it->second.heartbeat;
     }
+
     void clear() { relays_.clear(); }
 
   private:
-    static constexpr std::size_t most_of_a_relay = 50'000;
-    struct Kept {
-        std::uint64_t full = 0;  // the number with which it came
-        model::Heartbeat report;
+    static constexpr std::size_t max_heartbeats_per_relay = 50'000;
+
+    struct Entry {
+        std::uint64_t number = 0;  // with which the heartbeat arrived in full
+        model::Heartbeat heartbeat;
     };
     struct Relay {
         std::uint64_t incarnation = 0;
-        std::unordered_map<std::uint32_t, Kept> reports;  // by handle
+        std::unordered_map<std::uint32_t, Entry> heartbeats;  // by handle
     };
     Relay& relay_of(const std::string& member, std::uint64_t incarnation) {
         auto& relay = relays_[member];
         if (relay.incarnation != incarnation) relay = {incarnation, {}};
         return relay;
     }
-    std::map<std::string, Relay> relays_;
+
+    std::map<std::string, Relay> relays_;  // by member
 };
 
 }  // namespace flintdale::peer
--- a/src/quota/quota_accounting.cpp
+++ b/src/quota/quota_accounting.cpp
@@ -10,18 +10,30 @@
 
 constexpr double rounding = 1e-9;
 
+// The lower of two limits, of which either may be none.
 double lower(double a, double b) { return a <= 0 ? b : b <= 0 ? a : std::min(a, b); }
 Amount lower(const Amount& a, const Amount& b) { return {lower(a.cpus, b.cpus), lower(a.gpus, b.gpus)}; }
 
-Amount of(const model::Resources& r, double times = 1) { return {r.cpus * times, r.gpus * times}; }
+Amount total(const model::Resources& need, std::uint32_t tasks) { return {need.cpus * tasks, need.gpus * tasks}; }
 
-// Whether that much is within figures of which one, but not both, may be missing.
-bool within(const Amount& much, const Amount& figures) {
+// Whether the amount is within figures of which one, but not both, may be none.
+bool within(const Amount& amount, const Amount& figures) {
     if (figures.cpus <= 0 && figures.gpus <= 0) return false;
-    return (figures.cpus <= 0 || much.cpus <= figures.cpus + rounding) &&
-           (figures.gpus <= 0 || much.gpus <= figures.gpus + rounding);
+    return (figures.cpus <= 0 || amount.cpus <= figures.cpus + rounding) &&
+           (figures.gpus <= 0 || amount.gpus <= figures.gpus + rounding);
 }
 
+bool exceeds(double limit, double used) { return limit > 0 && used > limit + rounding; }
+
+// How many tasks of which each needs that much still fit under the limit, at most `tasks`.
+std::uint32_t tasks_under(double limit, double used, double need, std::uint32_t tasks) {
+    if (limit <= 0 || need <= 0) return tasks;
+    const double fitting = std::floor((limit - used) / need + rounding);
+    return static_cast<std::uint32_t>(std::clamp(fitting, 0.0, static_cast<double>(tasks)));
+}
+
+bool reaches(double amount, double guarantee) { return guarantee <= 0 || amount + rounding >= guarantee; }
+
 }  // namespace
 
 Table table_of(const std::vector<config::Team>& teams) {
@@ -83,32 +95,27 @@
 }
 
 std::uint32_t QuotaAccounting::room(const std::string& team, const model::Resources& need, std::uint32_t tasks) const {
-    const auto* f = figures(team);
-    if (!f) return 0;
+    const auto* its_figures = figures(team);
+    if (!its_figures) return 0;
     const auto used = use(team);
-    const auto left = [&](double limit, double in_use, double each) {
-        if (limit <= 0 || each <= 0) return tasks;
-        return static_cast<std::uint32_t>(
-            std::clamp(std::floor((limit - in_use) / each + rounding), 0.0, static_cast<double>(tasks)));
-    };
-    return std::min(left(f->limit.cpus, used.cpus, need.cpus), left(f->limit.gpus, used.gpus, need.gpus));
+    return std::min(tasks_under(its_figures->limit.cpus, used.cpus, need.cpus, tasks),
+                    tasks_under(its_figures->limit.gpus, used.gpus, need.gpus, tasks));
 }
 
 bool QuotaAccounting::over_limit(const std::string& team) const {
-    const auto* f = figures(team);
+    const auto* its_figures = figures(team);
     const auto used = use(team);
-    const auto over = [](double limit, double in_use) { return limit > 0 && in_use > limit + rounding; };
-    return f && (over(f->limit.cpus, used.cpus) || over(f->limit.gpus, used.gpus));
+    return its_figures && (exceeds(its_figures->limit.cpus, used.cpus) || exceeds(its_figures->limit.gpus, used.gpus));
 }
 
 bool QuotaAccounting::limited(const std::string& team) const {
-    const auto* f = figures(team);
-    return !f || f->limit.cpus > 0 || f->limit.gpus > 0;
+    const auto* its_figures = figures(team);
+    return !its_figures || its_figures->limit.cpus > 0 || its_figures->limit.gpus > 0;
 }
 
 void QuotaAccounting::opened(const model::JobSpec& spec) {
     auto& t = teams_[spec.team];
-    t.stale = t.open.insert({spec.accepted_ms, spec.uid, of(spec.need, spec.tasks)}).second || t.stale;
+    t.stale = t.open.insert({spec.accepted_ms, spec.uid, total(spec.need, spec.tasks)}).second || t.stale;
 }
 
 void QuotaAccounting::over(const model::JobSpec& spec) {
@@ -122,18 +129,18 @@
     });
 }
 
-// All that was accepted before counts, whether or not it fits itself: so whoever asks for too much at once does not get
-// his smaller jobs ahead of others on the guarantee.
+// All jobs that were accepted before count, whether or not they fit themselves. So a team that submits too large a job
+// does not get its smaller jobs ahead of others on the guarantee.
 void QuotaAccounting::refresh(const std::string& name, const Team& team) const {
     team.stale = false;
     team.guaranteed.clear();
     team.guaranteed_need = {};
-    const auto* f = figures(name);
-    if (!f) return;
+    const auto* its_figures = figures(name);
+    if (!its_figures) return;
     Amount sum;
     for (const auto& job : team.open) {
         sum = {sum.cpus + job.need.cpus, sum.gpus + job.need.gpus};
-        if (!within(sum, f->guarantee)) return;
+        if (!within(sum, its_figures->guarantee)) return;
         team.guaranteed.insert(job.uid);
         team.guaranteed_need = sum;
     }
@@ -147,12 +154,11 @@
 }
 
 bool QuotaAccounting::may_stop(const std::string& team, const Amount& stopping, const model::Resources& need) const {
-    const auto* f = figures(team);
-    if (!f) return true;
+    const auto* its_figures = figures(team);
+    if (!its_figures) return true;
     const auto used = use(team);
-    const auto above = [](double left, double guarantee) { return guarantee <= 0 || left + rounding >= guarantee; };
-    return above(used.cpus - stopping.cpus - need.cpus, f->guarantee.cpus) &&
-           above(used.gpus - stopping.gpus - need.gpus, f->guarantee.gpus);
+    return reaches(used.cpus - stopping.cpus - need.cpus, its_figures->guarantee.cpus) &&
+           reaches(used.gpus - stopping.gpus - need.gpus, its_figures->guarantee.gpus);
 }
 
 bool QuotaAccounting::below_guarantee(const std::string& team) const {
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -299,7 +299,7 @@
     w.generation = std::max(newest_generation(), generation) + 1;
     w.id = settings_.member + "-" + std::to_string(callbacks_.time_of_day_ms());
     w.phase = GenerationMarker::Phase::merging;
-    w.beyond_memory = beyond_memory_;
+    w.loss_exceeds_replica = beyond_memory_;
     w.keys_only = doubt_ && records_only_;
     w.mod_revision = over;
     const auto mod_revision = co_await put(w);
@@ -792,13 +792,13 @@
     }
     rebuilding_ = true;
     if (term_) {
-        const bool its_own = w.by == settings_.member && w.term == term_->number;
+        const bool its_own = w.rebuilder == settings_.member && w.term == term_->number;
         if (!begun_ && (its_own || term_->mod_revision > w.mod_revision)) {
             co_await rebuild_records(w);
             co_return;
         }
         callbacks_.new_term("the state service lost data");
-    } else if (w.phase == GenerationMarker::Phase::merging && !w.by.empty() &&
+    } else if (w.phase == GenerationMarker::Phase::merging && !w.rebuilder.empty() &&
                offered_to_ != w.id + std::to_string(w.mod_revision)) {
         const bool offered = co_await offer_replica(w);
         if (offered) offered_to_ = w.id + std::to_string(w.mod_revision);
@@ -852,8 +852,8 @@
         seen.merge(terms_in(*header));
     }
     if (sources.size() > most_offers) sources.resize(most_offers);
-    const bool its_own = w.by == settings_.member;
-    for (const auto& source : own_sources(its_own ? std::string() : w.of, w.remembers)) {
+    const bool its_own = w.rebuilder == settings_.member;
+    for (const auto& source : own_sources(its_own ? std::string() : w.base_history, w.base_revision)) {
         if (source.records.empty() && !source.whole) continue;
         // Pages of a former life may still be on their way, and must not take the place of these.
         const auto prefix =
@@ -999,10 +999,10 @@
     if (rebuild_began_ == model::TimePoint{}) rebuild_began_ = Clock::now();
     // 1. Say who rebuilds, and up to where this controller itself remembers.
     w.phase = GenerationMarker::Phase::merging;
-    w.by = settings_.member;
+    w.rebuilder = settings_.member;
     w.term = term;
-    w.of = replica_.whole() ? replica_.id() : std::string();
-    w.remembers = replica_.revision();
+    w.base_history = replica_.whole() ? replica_.id() : std::string();
+    w.base_revision = replica_.revision();
     if (std::find(w.rebuilders.begin(), w.rebuilders.end(), term) == w.rebuilders.end()) w.rebuilders.push_back(term);
     const auto first = co_await put(w);
     if (!first) {
@@ -1067,13 +1067,13 @@
     with.push_back({digest_key, std::nullopt, 0});
     // Where the history went on and nothing at all was missing, nothing was lost: what is on record is all there is.
     const bool nothing = w.keys_only && restored == 0;
-    w.beyond_memory = !nothing && (w.beyond_memory || !gathered->placements_known);
-    if (w.beyond_memory) with.push_back({unsettled_key, boost::json::object{{"generation", w.generation}}, 0});
+    w.loss_exceeds_replica = !nothing && (w.loss_exceeds_replica || !gathered->placements_known);
+    if (w.loss_exceeds_replica) with.push_back({unsettled_key, boost::json::object{{"generation", w.generation}}, 0});
     const auto last = co_await put_with(w, std::move(with));
     if (!last) co_return;
     spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
                  w.generation, merged.records.size(), restored, gathered->sources.size(), missed + merged.doubts.size(),
-                 !w.beyond_memory);
+                 !w.loss_exceeds_replica);
     clear_offers_ = true;
 }
 
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -120,7 +120,7 @@
     std::uint64_t newest_generation() const;
     // The records were rebuilt without the last placements, and nobody here has seen that all machines were heard
     // since.
-    bool unsettled() const { return known_ && known_->beyond_memory && !settled_; }
+    bool unsettled() const { return known_ && known_->loss_exceeds_replica && !settled_; }
     std::uint64_t newest_remembered() const;
     static bool outdated(const GenerationMarker& marker, const std::vector<History>& known);
     void clear_suspicion();
--- a/src/state/generation_marker.hpp
+++ b/src/state/generation_marker.hpp
@@ -1,6 +1,6 @@
-// The marker: one key that stands for the history of what the state service keeps. Whoever answers users or writes
-// records of jobs does so on the condition that the marker is still the one it knows, so that after a loss nobody goes
-// on as if what is missing had never been. docs/rebuilding.md has the argument.
+// The generation marker: one key of the store that stands for the history of all records. Whoever answers users or
+// writes records of jobs does so on the condition that the marker is still the one it knows. So no controller goes on
+// as if lost records had never existed after the store has lost data. docs/rebuilding.md has the argument.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,28 +14,30 @@
 
 struct GenerationMarker {
     enum class Phase : std::uint8_t {
-        whole,      // the records are what they should be
-        merging,    // data were lost: what everybody remembers is gathered, and nobody answers or writes
-        restoring,  // what was gathered is being written back, still by one controller alone
+        whole,      // the records are complete
+        merging,    // data were lost: the replicas of all controllers are gathered; nobody answers users or writes
+        restoring,  // the gathered records are being written back, still by the rebuilding controller alone
     };
     std::uint64_t generation = 0;  // rises with every loss
-    std::string id;                // tells two histories of the same generation apart
+    std::string id;                // distinguishes two histories with the same generation
     Phase phase = Phase::whole;
-    std::string by;                         // who rebuilds; empty while nobody does
-    std::uint64_t term = 0;                 // of the one who rebuilds
-    std::string of;                         // merging: the history that the rebuilder itself remembers,
-    std::uint64_t remembers = 0;            // and up to which of its revisions; others offer what is newer
-    bool beyond_memory = false;             // more was lost than whoever found it remembers
-    std::vector<std::uint64_t> rebuilders;  // terms that have rebuilt: none of them has placed anything
-    bool keys_only = false;                 // only records are gone that were remembered; the history itself went on
-    std::vector<std::string> missing;       // whole: controllers that could not be asked when it was rebuilt
-    std::uint64_t mod_revision = 0;         // of the key, once it is on record
+    std::string rebuilder;            // member that rebuilds the records; empty while none does
+    std::uint64_t term = 0;           // leader term of the rebuilder
+    std::string base_history;         // merging: id of the history that the rebuilder's own replica is of
+    std::uint64_t base_revision = 0;  // merging: revision up to which that replica reaches; others offer newer records
+    bool loss_exceeds_replica = false;      // more was lost than the replica of the member that found the loss holds
+    std::vector<std::uint64_t> rebuilders;  // terms that have rebuilt; none of them has placed any task
+    bool keys_only = false;                 // only single records that a replica holds are gone; the history continued
+    std::vector<std::string> missing;       // whole: members that could not be asked during the rebuild
+    std::uint64_t mod_revision = 0;         // of the marker's key; 0 until it is in the store
 
     bool whole() const { return phase == Phase::whole; }
 };
 
+// The marker's value in the store. Fields that only matter during a rebuild are left out of a whole marker.
 boost::json::object marker_record(const GenerationMarker& marker);
-// Nothing if the key is absent or is no marker.
+
+// Reads a marker; nothing if the key is absent or its value is no marker.
 std::optional<GenerationMarker> parse_marker(const KeyValue& item);
 
 }  // namespace flintdale::state
--- a/src/state/guarded_store.cpp
+++ b/src/state/guarded_store.cpp
@@ -6,13 +6,28 @@
 
 namespace flintdale::state {
 
+namespace {
+
+bool has_failed(const TxnResult& result, const std::string& key) {
+    return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
+}
+
+bool requires_absence(const std::vector<Condition>& conditions, const std::string& key) {
+    return std::any_of(conditions.begin(), conditions.end(),
+                       [&](const auto& condition) { return condition.key == key && condition.mod_revision == 0; });
+}
+
+bool is_answer(Outcome outcome) { return outcome == Outcome::ok || outcome == Outcome::conflict; }
+
+}  // namespace
+
 GuardedStore::GuardedStore(Store& inner, std::string guarded_prefix, Events events)
-    : inner_(inner), prefix_(std::move(guarded_prefix)), events_(std::move(events)) {}
+    : inner_(inner), guarded_prefix_(std::move(guarded_prefix)), events_(std::move(events)) {}
 
 void GuardedStore::open(std::uint64_t marker_revision) {
     if (marker_revision == marker_revision_) return;
     marker_revision_ = marker_revision;
-    newest_ = marker_revision;
+    newest_revision_ = marker_revision;
     ++opening_;
 }
 
@@ -22,141 +37,157 @@
     ++opening_;
 }
 
-void GuardedStore::doubt(const char* why) {
+void GuardedStore::suspect_loss(const char* why) {
     close();
-    events_.doubted(why);
+    events_.loss_suspected(why);
 }
 
 bool GuardedStore::is_guarded(const Txn& txn) const {
-    const auto ours = [&](const auto& c) { return c.key.starts_with(prefix_); };
-    return std::any_of(txn.conditions.begin(), txn.conditions.end(), ours) ||
-           std::any_of(txn.changes.begin(), txn.changes.end(), ours);
+    const auto names_guarded_key = [&](const auto& part) { return is_guarded(part.key); };
+    return std::any_of(txn.conditions.begin(), txn.conditions.end(), names_guarded_key) ||
+           std::any_of(txn.changes.begin(), txn.changes.end(), names_guarded_key);
 }
 
-// Requests overtake one another, so an answer is held only against what had been seen when its request was sent: from
-// then on the service stood there or later. Before the opening, and across one, nothing can be concluded.
-bool GuardedStore::sound(const Sent& sent, std::uint64_t revision) {
-    if (sent.opening != opening_) return false;
+// Requests overtake one another, so an answer is compared only with what had been seen when its request was sent: from
+// then on the store was at that revision or a later one. Before the opening, and across one, nothing can be concluded.
+bool GuardedStore::is_consistent(const KnownWhenSent& known, std::uint64_t revision) {
+    if (known.opening != opening_) return false;
     if (!is_open()) return true;
-    if (revision < sent.revision) {
-        const auto why =
-            "its revisions went back: " + std::to_string(sent.revision) + " was seen, then " + std::to_string(revision);
-        doubt(why.c_str());
+    if (revision < known.revision) {
+        const auto why = "its revisions went back: " + std::to_string(known.revision) + " was seen, then " +
+                         std::to_string(revision);
+        suspect_loss(why.c_str());
         return false;
     }
-    newest_ = std::max(newest_, revision);
+    newest_revision_ = std::max(newest_revision_, revision);
     return true;
 }
 
-awaitable<GetResult> GuardedStore::get(std::string key, RequestPriority priority) {
-    GetResult r;
-    const bool guarded = key.starts_with(prefix_);
-    if (guarded && !is_open()) {
-        r.outcome = Outcome::refused;
-        co_return r;
-    }
-    const auto sent = opening_;
-    const auto known = guarded ? remembered(key) : 0;
-    r = co_await inner_.get(std::move(key), priority);
-    // What was written just after a loss must not be told as an answer, not even by reading it again.
-    if (guarded && sent != opening_) r.outcome = Outcome::unknown;
-    if (r.outcome == Outcome::ok && missing(r.item, known)) r.outcome = Outcome::refused;
-    co_return r;
-}
-
-// An older value, or none though nothing else explains that.
-bool GuardedStore::missing(const KeyValue& item, std::uint64_t known) {
-    if (item.mod_revision >= known || (!item.mod_revision && !events_.explained_by(item.key).empty())) return false;
-    events_.missed(item.key);
+std::uint64_t GuardedStore::expected_revision(const std::string& key) const {
+    return events_.expected_revision ? events_.expected_revision(key) : 0;
+}
+
+bool GuardedStore::report_if_missing(const KeyValue& item, std::uint64_t expected) {
+    if (item.mod_revision >= expected) return false;
+    if (!item.mod_revision && !events_.absence_explained_by(item.key).empty()) return false;
+    events_.key_missing(item.key);
     return true;
 }
 
-std::vector<std::string> GuardedStore::impossible(const Txn& txn) const {
-    std::vector<std::string> out;
-    for (const auto& c : txn.conditions)
-        if (c.mod_revision == 0 && c.key.starts_with(prefix_) && remembered(c.key)) out.push_back(c.key);
-    return out;
+awaitable<GetResult> GuardedStore::get(std::string key, RequestPriority priority) {
+    GetResult result;
+    const bool guarded = is_guarded(key);
+    if (guarded && !is_open()) {
+        result.outcome = Outcome::refused;
+        co_return result;
+    }
+    const auto opening = opening_;
+    const auto expected = guarded ? expected_revision(key) : 0;
+    result = co_await inner_.get(std::move(key), priority);
+    // What was written just after a loss must not be passed on as an answer, not even by reading it again.
+    if (guarded && opening != opening_) result.outcome = Outcome::unknown;
+    if (result.outcome == Outcome::ok && report_if_missing(result.item, expected)) result.outcome = Outcome::refused;
+    co_return result;
 }
 
 awaitable<RangeResult> GuardedStore::range(std::string prefix, std::string after, RequestPriority priority) {
-    const bool guarded = prefix.starts_with(prefix_);
-    const auto sent = now();
-    auto r = co_await inner_.range(std::move(prefix), std::move(after), priority);
-    if (r.outcome == Outcome::ok && !sound(sent, r.revision) && guarded) r.outcome = Outcome::unknown;
-    if (r.outcome != Outcome::ok || !guarded) co_return r;
-    // What has a stamp beyond the revision that had been seen may have been written while this was under way.
-    for (const auto& item : r.items)
-        if (const auto known = remembered(item.key); known <= sent.revision && missing(item, known))
-            r.outcome = Outcome::refused;
-    co_return r;
+    const bool guarded = is_guarded(prefix);
+    const auto known = known_now();
+    auto result = co_await inner_.range(std::move(prefix), std::move(after), priority);
+    if (result.outcome == Outcome::ok && !is_consistent(known, result.revision) && guarded)
+        result.outcome = Outcome::unknown;
+    if (result.outcome != Outcome::ok || !guarded) co_return result;
+    for (const auto& item : result.items) {
+        // A key that is expected beyond the revision known then may have been written while this was under way.
+        const auto expected = expected_revision(item.key);
+        if (expected <= known.revision && report_if_missing(item, expected)) result.outcome = Outcome::refused;
+    }
+    co_return result;
 }
 
 awaitable<WatchResult> GuardedStore::watch(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
-    const bool guarded = prefix.starts_with(prefix_);
-    const auto sent = now();
-    auto r = co_await inner_.watch(std::move(prefix), from, hold);
-    if (r.outcome == Outcome::ok && !sound(sent, r.revision) && guarded) r.outcome = Outcome::unknown;
-    co_return r;
+    const bool guarded = is_guarded(prefix);
+    const auto known = known_now();
+    auto result = co_await inner_.watch(std::move(prefix), from, hold);
+    if (result.outcome == Outcome::ok && !is_consistent(known, result.revision) && guarded)
+        result.outcome = Outcome::unknown;
+    co_return result;
 }
 
+std::vector<std::string> GuardedStore::impossible_absences(const Txn& txn) const {
+    std::vector<std::string> keys;
+    for (const auto& condition : txn.conditions)
+        if (condition.mod_revision == 0 && is_guarded(condition.key) && expected_revision(condition.key))
+            keys.push_back(condition.key);
+    return keys;
+}
+
+Condition GuardedStore::marker_condition() const { return {marker_key, marker_revision_}; }
+
 awaitable<TxnResult> GuardedStore::commit(Txn txn, RequestPriority priority) {
-    TxnResult r;
-    const bool guarded = is_guarded(txn);
-    if (guarded && !is_open()) {
-        r.outcome = Outcome::refused;
-        co_return r;
+    TxnResult result;
+    if (!is_guarded(txn)) {
+        const auto known = known_now();
+        result = co_await inner_.commit(std::move(txn), priority);
+        if (is_answer(result.outcome)) is_consistent(known, result.revision);
+        co_return result;
     }
-    const auto sent = now();
-    std::vector<Change> changes;
-    const auto expected = guarded ? impossible(txn) : std::vector<std::string>();
-    if (!expected.empty() && !txn.changes.empty()) {
-        r.outcome = Outcome::conflict;
-        r.failed = expected;
-        r.revision = newest_;
-        co_return r;
+    if (!is_open()) {
+        result.outcome = Outcome::refused;
+        co_return result;
     }
-    if (guarded) {
-        Condition marker;
-        marker.key = marker_key;
-        marker.mod_revision = marker_revision_;
-        txn.conditions.push_back(std::move(marker));
-        changes = txn.changes;
+    PendingCommit pending;
+    pending.known = known_now();
+    pending.impossible = impossible_absences(txn);
+    if (!pending.impossible.empty() && !txn.changes.empty()) {
+        result.outcome = Outcome::conflict;
+        result.failed = pending.impossible;
+        result.revision = newest_revision_;
+        co_return result;
     }
-    const auto conditions = expected.empty() ? std::vector<Condition>() : txn.conditions;
-    r = co_await inner_.commit(std::move(txn), priority);
-    if (r.outcome != Outcome::ok && r.outcome != Outcome::conflict) co_return r;
-    const bool other =
-        r.outcome == Outcome::conflict && std::find(r.failed.begin(), r.failed.end(), marker_key) != r.failed.end();
-    if (!guarded) {
-        sound(sent, r.revision);
-        co_return r;
+    txn.conditions.push_back(marker_condition());
+    pending.changes = txn.changes;
+    if (!pending.impossible.empty()) pending.conditions = txn.conditions;
+    result = co_await inner_.commit(std::move(txn), priority);
+    judge_commit(pending, result);
+    co_return result;
+}
+
+void GuardedStore::judge_commit(const PendingCommit& pending, TxnResult& result) {
+    if (!is_answer(result.outcome)) return;
+    if (result.outcome == Outcome::conflict && has_failed(result, marker_key)) {
+        if (pending.known.opening == opening_) suspect_loss("its marker is another");
+        result.outcome = Outcome::refused;
+        return;
+    }
+    if (!is_consistent(pending.known, result.revision)) {
+        // It was carried out, but by a store that may have lost data: the caller must not take it for an answer.
+        const bool changed = result.outcome == Outcome::ok && !pending.changes.empty();
+        result.outcome = changed ? Outcome::unknown : Outcome::refused;
+        return;
     }
-    if (other) {
-        if (sent.opening == opening_) doubt("its marker is another");
-        r.outcome = Outcome::refused;
-    } else if (!sound(sent, r.revision)) {
-        // It was carried out, but by a service that is not what it was: whoever asked must not take it for an answer.
-        r.outcome = r.outcome == Outcome::ok && !changes.empty() ? Outcome::unknown : Outcome::refused;
-    } else if (!expected.empty()) {
-        const auto held = [&](const std::string& key) {
-            return std::find(r.failed.begin(), r.failed.end(), key) == r.failed.end();
-        };
-        bool missed = false;
-        for (const auto& key : expected) {
-            if (!held(key)) continue;
-            const auto other = events_.explained_by(key);
-            const bool beside = std::any_of(conditions.begin(), conditions.end(),
-                                            [&](const auto& c) { return c.key == other && c.mod_revision == 0; });
-            if (!other.empty() && !(beside && held(other))) continue;
-            events_.missed(key);
-            missed = true;
-        }
-        if (missed) r.outcome = Outcome::refused;
-    } else if (r.outcome == Outcome::ok) {
-        for (const auto& c : changes)
-            if (c.key.starts_with(prefix_)) events_.written(c, r.revision);
+    if (!pending.impossible.empty()) {
+        if (report_missing_keys(pending, result)) result.outcome = Outcome::refused;
+        return;
+    }
+    if (result.outcome != Outcome::ok) return;
+    for (const auto& change : pending.changes)
+        if (is_guarded(change.key)) events_.committed(change, result.revision);
+}
+
+// A key is missing if its absence held, unless a key that would explain that may be there.
+bool GuardedStore::report_missing_keys(const PendingCommit& pending, const TxnResult& result) {
+    bool any_missing = false;
+    for (const auto& key : pending.impossible) {
+        if (has_failed(result, key)) continue;
+        const auto explaining = events_.absence_explained_by(key);
+        const bool explaining_is_absent =
+            requires_absence(pending.conditions, explaining) && !has_failed(result, explaining);
+        if (!explaining.empty() && !explaining_is_absent) continue;
+        events_.key_missing(key);
+        any_missing = true;
     }
-    co_return r;
+    return any_missing;
 }
 
 }  // namespace flintdale::state
--- a/src/state/http_store.hpp
+++ b/src/state/http_store.hpp
@@ -1,3 +1,4 @@
+// The store over HTTP, within this controller's share of the published request limits.
 #pragma once
 #include "config/settings.hpp"
 #include "model/clock.hpp"
@@ -8,9 +9,10 @@
 
 namespace flintdale::state {
 
+// See Store for the operations. An answer that the protocol does not allow counts as no answer.
 class HttpStore : public Service {
   public:
-    // `form` is told when the service shows that its limits have changed.
+    // `record_format` is informed when the store shows that its limits have changed; it must outlive the store.
     HttpStore(net::Executor ex, const config::Settings& settings, RecordFormat& record_format);
 
     // The shares of all controllers together stay within the limits. The leader does most of the work; of the writes
@@ -20,7 +22,7 @@
     double take_write_demand() override { return limiter_.take_demand(); }
     void set_write_demand(double own, double all) override;
 
-    // Whether the service answered this controller lately; for /ready and for the peers.
+    // True while the last answer was a usable one, and for two seconds after such an answer.
     bool healthy(model::TimePoint now) const override;
 
     awaitable<GetResult> get(std::string key, RequestPriority priority) override;
@@ -35,16 +37,21 @@
 
   private:
     void set_rates();
+    // The size in bytes of the largest value, which only matters while the format is not the newest; otherwise 0.
+    std::size_t largest_value(const Txn& txn) const;
+    void transaction_rejected(const Txn& txn, std::size_t largest_value, const std::string& answer);
+    // Waits for its turn and sends the request. `writes`: number of changes; 0 for reads. Status 503 if no connection
+    // came about, for then nothing can have been carried out.
     awaitable<net::HttpAnswer> call(net::http::verb verb, std::string target, std::string body, double writes,
                                     RequestPriority priority, model::Clock::duration limit);
 
     RecordFormat& record_format_;
-    std::size_t nodes_;
+    std::size_t controllers_;
     net::HttpClient http_, watches_;
     RequestLimiter limiter_;
     bool leading_ = false;
-    double demand_share_ = 0;  // of the writes that are shared by demand
-    model::Clock::time_point last_good_, last_bad_;
+    double demand_share_ = 0;  // of the writes that are shared by demand, from 0 to 1
+    model::Clock::time_point last_answer_, last_failure_;
 };
 
 }  // namespace flintdale::state
--- a/src/wire/archive.capnp
+++ b/src/wire/archive.capnp
@@ -1,7 +1,7 @@
 @0xe1d27b5c3f9a4d68;
 
-# Records of the state service as somebody remembers them: offered to whoever rebuilds after a loss, and kept in
-# snapshots. A page by itself is whole or unreadable (Zstandard's checksum tells).
+# Records of the store from a replica: offered to the controller that rebuilds them after a loss, and kept in
+# snapshots. A page is read as a whole or not at all (Zstandard has a checksum).
 
 struct Record @0xc7656ce800e3152b {
     key @0 :Text;
--- a/src/wire/archive.cpp
+++ b/src/wire/archive.cpp
@@ -1,13 +1,20 @@
 #include "wire/archive.hpp"
 
+#include <capnp/serialize-packed.h>
+#include <kj/exception.h>
+#include <kj/io.h>
+
 #include "wire/archive.capnp.h"
-#include "wire/packed.hpp"
+#include "wire/decode_error.hpp"
+#include "wire/packed_message.hpp"
 
 namespace flintdale::wire {
 
 namespace {
-constexpr int level = 3;
-constexpr std::size_t max_page = 16 * 1024 * 1024;  // once it is unpacked
+
+constexpr int compression_level = 3;
+constexpr std::size_t max_page = 16 * 1024 * 1024;  // bytes, once it is decompressed
+
 }  // namespace
 
 std::string encode_archive(std::span<const ArchivedRecord> records) {
@@ -18,26 +25,27 @@
         list[i].setModRevision(records[i].mod_revision);
         list[i].setText(records[i].text);
     }
-    return compress(message, level);
+    return compress(message, compression_level);
 }
 
-std::vector<ArchivedRecord> decode_archive(std::string_view small) {
-    const auto bytes = decompress(small, max_page);
-    std::vector<ArchivedRecord> out;
+std::vector<ArchivedRecord> decode_archive(std::string_view compressed) {
+    const auto bytes = decompress(compressed, max_page);
+    std::vector<ArchivedRecord> records;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
         capnp::ReaderOptions options;
         options.traversalLimitInWords = max_page;
         capnp::PackedMessageReader message(stream, options);
         for (const auto record : message.getRoot<::Archive>().getRecords())
-            out.push_back({record.getKey().cStr(), record.getModRevision(), record.getText().cStr()});
+            records.push_back({record.getKey().cStr(), record.getModRevision(), record.getText().cStr()});
     } catch (const kj::Exception& e) {
         throw DecodeError(std::string("a page cannot be read: ") + e.getDescription().cStr());
     }
-    return out;
+    return records;
 }
 
 std::string encode_archive_text(std::span<const ArchivedRecord> records) { return to_text(encode_archive(records)); }
+
 std::vector<ArchivedRecord> decode_archive_text(std::string_view text) { return decode_archive(from_text(text)); }
 
 }  // namespace flintdale::wire
--- a/src/wire/machine_hints.cpp
+++ b/src/wire/machine_hints.cpp
@@ -1,60 +1,79 @@
 #include "wire/machine_hints.hpp"
 
+#include <capnp/serialize-packed.h>
+#include <kj/exception.h>
+#include <kj/io.h>
+
 #include <map>
 
+#include "wire/decode_error.hpp"
 #include "wire/machine_hints.capnp.h"
-#include "wire/packed.hpp"
+#include "wire/packed_message.hpp"
 
 namespace flintdale::wire {
 
 namespace {
-constexpr int level = 3;                       // of compression: the leader's processor time is scarce
-constexpr std::size_t max_page = 1024 * 1024;  // of a page once it is unpacked: what claims more is none of ours
+
+constexpr int compression_level = 3;           // higher ones cost too much of the leader's processor time
+constexpr std::size_t max_page = 1024 * 1024;  // bytes, once it is decompressed
+
+// All images of the hints, each once, in the order of their first use.
+class ImageTable {
+  public:
+    explicit ImageTable(std::span<const MachineHint> hints) {
+        for (const auto& hint : hints)
+            for (const auto& image : hint.images)
+                if (indices_.try_emplace(image.name, static_cast<std::uint32_t>(images_.size())).second)
+                    images_.push_back(&image);
+    }
+    const std::vector<const MachineHint::Image*>& images() const { return images_; }
+    std::uint32_t index_of(const std::string& name) const { return indices_.at(name); }
+
+  private:
+    std::map<std::string_view, std::uint32_t> indices_;
+    std::vector<const MachineHint::Image*> images_;
+};
+
 }  // namespace
 
-std::string encode_machine_hints(std::span<const MachineHint> notes) {
-    std::map<std::string_view, std::uint32_t> places;
-    std::vector<const MachineHint::Image*> images;
-    for (const auto& note : notes)
-        for (const auto& image : note.images)
-            if (places.try_emplace(image.name, static_cast<std::uint32_t>(images.size())).second)
-                images.push_back(&image);
+std::string encode_machine_hints(std::span<const MachineHint> hints) {
+    const ImageTable table(hints);
     capnp::MallocMessageBuilder message;
     auto page = message.initRoot<::Page>();
-    auto names = page.initImages(static_cast<unsigned>(images.size()));
+    auto images = page.initImages(static_cast<unsigned>(table.images().size()));
     for (unsigned i = 0; i < images.size(); ++i) {
-        names[i].setName(images[i]->name);
-        names[i].setGb(images[i]->gb);
+        images[i].setName(table.images()[i]->name);
+        images[i].setGb(table.images()[i]->gb);
     }
-    auto machines = page.initMachines(static_cast<unsigned>(notes.size()));
-    for (unsigned i = 0; i < notes.size(); ++i) {
-        machines[i].setName(notes[i].name);
-        machines[i].setQuarantined(notes[i].quarantined);
-        auto held = machines[i].initImages(static_cast<unsigned>(notes[i].images.size()));
-        for (unsigned k = 0; k < notes[i].images.size(); ++k) held.set(k, places.at(notes[i].images[k].name));
+    auto machines = page.initMachines(static_cast<unsigned>(hints.size()));
+    for (unsigned i = 0; i < hints.size(); ++i) {
+        machines[i].setName(hints[i].name);
+        machines[i].setQuarantined(hints[i].quarantined);
+        auto cached = machines[i].initImages(static_cast<unsigned>(hints[i].images.size()));
+        for (unsigned k = 0; k < cached.size(); ++k) cached.set(k, table.index_of(hints[i].images[k].name));
     }
-    return to_text(compress(message, level));
+    return to_text(compress(message, compression_level));
 }
 
 std::vector<MachineHint> decode_machine_hints(std::string_view text) {
     const auto bytes = decompress(from_text(text), max_page);
-    std::vector<MachineHint> out;
+    std::vector<MachineHint> hints;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
         capnp::PackedMessageReader message(stream);
         const auto page = message.getRoot<::Page>();
         const auto images = page.getImages();
         for (const auto machine : page.getMachines()) {
-            MachineHint note{machine.getName().cStr(), {}, machine.getQuarantined()};
-            for (const auto place : machine.getImages())
-                if (place < images.size())
-                    note.images.push_back({images[place].getName().cStr(), images[place].getGb()});
-            out.push_back(std::move(note));
+            MachineHint hint{machine.getName().cStr(), {}, machine.getQuarantined()};
+            for (const auto index : machine.getImages())
+                if (index < images.size())
+                    hint.images.push_back({images[index].getName().cStr(), images[index].getGb()});
+            hints.push_back(std::move(hint));
         }
     } catch (const kj::Exception& e) {
-        throw DecodeError(std::string("a page of notes cannot be read: ") + e.getDescription().cStr());
+        throw DecodeError(std::string("a page of hints cannot be read: ") + e.getDescription().cStr());
     }
-    return out;
+    return hints;
 }
 
 }  // namespace flintdale::wire
--- a/src/wire/machine_hints.hpp
+++ b/src/wire/machine_hints.hpp
@@ -1,5 +1,5 @@
-// Notes on machines, in pages that a value of the state service can hold: Cap'n Proto, compressed by Zstandard, as
-// text.
+// Hints about machines that a leader leaves for the next one, in pages that a value of the store can hold: Cap'n Proto,
+// packed and compressed, as text (machine_hints.capnp).
 #pragma once
 #include <span>
 #include <string>
@@ -14,14 +14,14 @@
         double gb = 0;
         bool operator==(const Image&) const = default;
     };
-    std::string name;
-    std::vector<Image> images;  // that its cache holds, oldest use first
-    bool quarantined = false;   // several jobs failed there that went well elsewhere
+    std::string name;           // of the machine
+    std::vector<Image> images;  // in its cache, least recently used first
+    bool quarantined = false;   // several jobs failed there that succeeded elsewhere
     bool operator==(const MachineHint&) const = default;
 };
 
-// One page of text without spaces or quotes. The same notes give the same text.
-std::string encode_machine_hints(std::span<const MachineHint> notes);
+// One page of text without spaces or quotes. Equal hints give equal text.
+std::string encode_machine_hints(std::span<const MachineHint> hints);
 // Throws DecodeError if the text is no such page.
 std::vector<MachineHint> decode_machine_hints(std::string_view text);
 
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -1,7 +1,7 @@
 @0xd6e1f3a49b0c8277;
 
-# What controllers tell each other. No rule needs a message to arrive: they make answers fresher and hand-overs quicker,
-# and tell a leader that the state service does not answer what the others have told users.
+# What controllers send each other. No rule needs a message to arrive: they make answers fresher and failovers quicker,
+# and let a leader know what the others have acknowledged to users while the store does not answer.
 
 struct JobCount @0xb1434d0913e5fc78 {
     uid @0 :Text;
@@ -26,13 +26,13 @@
     redirects @7 :UInt32;     # heartbeats that the sender turned away to the leader since its last message
     generation @9 :UInt64;    # of the records' history that the sender knows; 0: none, or a version that does not tell
     history @10 :Text;
-    remembers @11 :UInt64;    # the revision up to which it does
+    replicaRevision @11 :UInt64;  # up to which the sender has the records; 0: not certain
     rebuilding @12 :UInt64;   # the generation that it sees being rebuilt; 0: none
     incarnation @13 :UInt64;  # of the sender: another one each time that it is started; 0: a version without
     number @14 :UInt64;       # of this message of the sender's incarnation, from 1; 0: a version that does not count
-    heard @15 :List(ReceivedMessage);   # the newest message of each other controller that the sender has heard
+    received @15 :List(ReceivedMessage);  # the newest message of each other controller that the sender has received
     cancelled @16 :List(Text); # jobs that the sender has lately learned to be cancelled
-    whole @17 :Bool;          # and it has told users of no others in that time
+    cancellationsComplete @17 :Bool;  # and it has acknowledged no others to users in that time
     relays @18 :Bool;         # the sender passes reports on to a leader that does so too, and answers what is passed on to it
     workers @19 :UInt32;      # that report to the sender
     capacity @20 :UInt32;     # that may
--- a/src/wire/relay.capnp
+++ b/src/wire/relay.capnp
@@ -30,7 +30,7 @@
     number @0 :UInt64;
     handle @1 :UInt32;
     sequence @2 :UInt64;
-    full @3 :UInt64;          # number of the heartbeat that is meant
+    original @3 :UInt64;      # number of the heartbeat in full that is repeated
 }
 
 struct RelayedCommand @0xdbcc81ee455c81ed {
@@ -51,7 +51,7 @@
 struct RelayMessage @0x8813b61ad402331d {
     member @0 :Text;          # who sends
     incarnation @1 :UInt64;   # of the sender
-    to @2 :UInt64;            # incarnation of the receiver that is meant
+    receiverIncarnation @2 :UInt64;  # another incarnation of the receiver must ignore the message
     reports @3 :List(RelayedHeartbeat);
     repeated @4 :List(RepeatedHeartbeat);
     answers @5 :List(RelayedResponse);
--- a/src/worker/client.cpp
+++ b/src/worker/client.cpp
@@ -5,12 +5,15 @@
 #include <charconv>
 
 #include "model/heartbeat.hpp"
+#include "wire/decode_error.hpp"
 
 namespace flintdale::worker {
 
 namespace {
-constexpr std::chrono::milliseconds limit{1500};
-}
+
+constexpr std::chrono::milliseconds request_limit{1500};
+
+}  // namespace
 
 awaitable<std::optional<model::Heartbeat>> HttpWorkers::status(std::string address) {
     const auto colon = address.rfind(':');
@@ -24,7 +27,7 @@
     if (ec) co_return std::nullopt;
     net::HttpClient http(ex_, host, port, 0);
     std::string target = "/status";
-    const auto answer = co_await http.request(net::http::verb::get, std::move(target), std::string(), limit);
+    const auto answer = co_await http.request(net::http::verb::get, std::move(target), std::string(), request_limit);
     if (answer.status != 200) co_return std::nullopt;
     try {
         co_return wire::parse_heartbeat(answer.body);
