--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -218,15 +218,15 @@
 
 void Controller::received(const peer::StatusMessage& status) {
     using From = peer::Incarnations::From;
-    const auto from = incarnations_.heard(status.member, status.incarnation, status.connection);
-    if (from == From::former) return;  // delayed on its way: the process that sent it has ended
+    const auto from = incarnations_.classify(status.member, status.incarnation, status.connection);
+    if (from == From::previous) return;  // delayed on its way: the process that sent it has ended
     if (from == From::next) peers_.forget(status.member);
-    for (const auto& uid : status.cancellations.lately) cancellation_learned(uid);
+    for (const auto& uid : status.cancellations.recent) cancellation_learned(uid);
     cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
     elector_.observe_term(status.term, status.leader);
     record_format_.all_read(status.format);
     recovery_.peer_status_received(status.member,
-                                   {status.generation, status.remembers, status.history, status.rebuilding, {}});
+                                   {status.generation, status.replica_revision, status.history, status.rebuilding, {}});
     peers_.update(status, Clock::now());
     heartbeats_.peer_status_received(status);
     job_information_.peer_counts_received(status.counts);
@@ -247,7 +247,7 @@
     status.member = settings_.member;
     status.leader = elector_.leader();
     status.term = elector_.term();
-    status.state_ok = ports_.state.healthy(Clock::now());
+    status.store_healthy = ports_.state.healthy(Clock::now());
     status.leading = elector_.leading();
     status.writes = ports_.state.take_write_demand();
     status.format = static_cast<std::uint32_t>(record_format_.format());
@@ -258,7 +258,7 @@
     const auto records = recovery_.own_status();
     status.generation = records.generation;
     status.history = records.id;
-    status.remembers = records.remembers;
+    status.replica_revision = records.remembers;
     status.rebuilding = records.rebuilding;
     status.incarnation = incarnation_;
     status.cancellations = cancellations_.make_report(Clock::now());
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -181,7 +181,7 @@
 }
 
 void HeartbeatService::relay_message_received(const peer::RelayMessage& message) {
-    if (message.to != incarnation_) return;  // meant for an earlier process of this controller
+    if (message.receiver_incarnation != incarnation_) return;  // meant for an earlier process of this controller
     relay_.answered(message, cluster_.newest_term());
     for (const auto& relayed : message.reports) {
         relayed_heartbeats_.keep(message.member, message.incarnation, relayed);
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -70,10 +70,10 @@
     const auto& replica = context_.replica;
     const auto term = context_.leadership.term->number;
     marker.phase = GenerationMarker::Phase::merging;
-    marker.by = context_.settings.member;
+    marker.rebuilder = context_.settings.member;
     marker.term = term;
-    marker.of = replica.whole() ? replica.id() : std::string();
-    marker.remembers = replica.revision();
+    marker.base_history = replica.whole() ? replica.id() : std::string();
+    marker.base_revision = replica.revision();
     auto& rebuilders = marker.rebuilders;
     if (std::find(rebuilders.begin(), rebuilders.end(), term) == rebuilders.end()) rebuilders.push_back(term);
     const auto mod_revision = co_await markers_.replace(marker);
@@ -139,14 +139,14 @@
     changes.push_back({digest_key, std::nullopt, 0});
     // Where the history went on and nothing was missing, nothing was lost: what is on record is all there is.
     const bool nothing_lost = marker.keys_only && restored == 0;
-    marker.beyond_memory = !nothing_lost && (marker.beyond_memory || !gathered.placements_known);
-    if (marker.beyond_memory)
+    marker.loss_exceeds_replica = !nothing_lost && (marker.loss_exceeds_replica || !gathered.placements_known);
+    if (marker.loss_exceeds_replica)
         changes.push_back({unsettled_key, boost::json::object{{"generation", marker.generation}}, 0});
     const auto mod_revision = co_await markers_.replace_with(marker, std::move(changes));
     if (!mod_revision) co_return false;
     spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
                  marker.generation, merged.records.size(), restored, gathered.sources.size(), unrecoverable,
-                 !marker.beyond_memory);
+                 !marker.loss_exceeds_replica);
     co_return true;
 }
 
--- a/src/recovery/recovery_context.hpp
+++ b/src/recovery/recovery_context.hpp
@@ -119,7 +119,7 @@
     std::vector<History> known_histories() const;
     std::uint64_t newest_known_generation() const;
     // The records were rebuilt without the last placements, and not all machines have been reconciled since.
-    bool unsettled() const { return whole_marker && whole_marker->beyond_memory && !terms.reconciled; }
+    bool unsettled() const { return whole_marker && whole_marker->loss_exceeds_replica && !terms.reconciled; }
 };
 
 }  // namespace flintdale::recovery
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -153,7 +153,7 @@
     context_.records_lost = true;
     auto marker = markers_.make_marker(std::max(context_.newest_known_generation(), generation) + 1);
     marker.phase = GenerationMarker::Phase::merging;
-    marker.beyond_memory = context_.suspicion.beyond_replica;
+    marker.loss_exceeds_replica = context_.suspicion.beyond_replica;
     marker.keys_only = context_.loss_suspected() && context_.suspicion.records_only;
     marker.mod_revision = replaced_revision;
     const auto mod_revision = co_await markers_.replace(marker);
@@ -331,7 +331,7 @@
 // that has begun may have relied on the records that were lost, and must end.
 bool RecoveryCoordinator::may_rebuild(const GenerationMarker& marker) const {
     const auto& [term, confirmed] = context_.leadership;
-    const bool claimed = marker.by == context_.settings.member && marker.term == term->number;
+    const bool claimed = marker.rebuilder == context_.settings.member && marker.term == term->number;
     return !confirmed && (claimed || term->mod_revision > marker.mod_revision);
 }
 
@@ -344,7 +344,7 @@
             co_return;
         }
         context_.callbacks.new_term("the state service lost data");
-    } else if (marker.phase == GenerationMarker::Phase::merging && !marker.by.empty()) {
+    } else if (marker.phase == GenerationMarker::Phase::merging && !marker.rebuilder.empty()) {
         co_await offers_.publish_once(std::move(marker));
     }
     co_await context_.wakeup.wait(standby_interval);
--- a/src/recovery/replica_offers.cpp
+++ b/src/recovery/replica_offers.cpp
@@ -85,8 +85,8 @@
 awaitable<bool> ReplicaOffers::publish(GenerationMarker marker) {
     auto list = co_await previous_list();
     if (!list) co_return false;
-    const bool rebuilds = marker.by == context_.settings.member;
-    for (const auto& source : own_sources(rebuilds ? std::string() : marker.of, marker.remembers)) {
+    const bool rebuilds = marker.rebuilder == context_.settings.member;
+    for (const auto& source : own_sources(rebuilds ? std::string() : marker.base_history, marker.base_revision)) {
         if (source.records.empty() && !source.whole) continue;
         // Pages of an earlier incarnation may still be on their way, and must not take the place of these.
         const auto prefix = list_key(context_.settings.member) + "/" + std::to_string(context_.callbacks.incarnation) +
