--- a/apps/simulator_main.cpp
+++ b/apps/simulator_main.cpp
@@ -1,4 +1,4 @@
-// Plays scenarios in a simulation, one line of JSON a seed.
+// Runs scenarios in the simulator and prints one line of JSON a seed.
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -12,7 +12,7 @@
 #include "simulator/simulation.hpp"
 
 namespace {
-// Seconds of the emulated time, for the log.
+// Seconds of virtual time, for the log.
 class SimulatedTime : public spdlog::custom_flag_formatter {
   public:
     void format(const spdlog::details::log_msg&, const std::tm&, spdlog::memory_buf_t& out) override {
@@ -34,7 +34,7 @@
     std::uint64_t seed = 1, seeds = 1;
     unsigned jobs = std::max(1u, std::thread::hardware_concurrency());
     bool only_broken = false, summary = false, relays = false;
-    cli.add_option("scenario", path, "a TOML file; docs/emulator.md")->required();
+    cli.add_option("scenario", path, "a TOML file; docs/simulator.md")->required();
     cli.add_option("--seed", seed, "the first seed");
     cli.add_option("--seeds", seeds, "how many, one after the other")->check(CLI::PositiveNumber);
     cli.add_option("--jobs", jobs, "how many at once")->check(CLI::PositiveNumber);
@@ -45,8 +45,8 @@
     cli.add_flag("--relays", relays, "no worker reports to the leader directly while another controller can relay");
     cli.add_flag("--summary", summary, "after each line a table for a person, on standard error");
     CLI11_PARSE(cli, argc, argv);
-    // Many worlds in one process: memory that is given back to the system at the end of each request is asked for again
-    // at the next, and that took most of the time.
+    // Many simulations in one process: memory that is given back to the system at the end of each request is asked for
+    // again at the next, and that took most of the time.
     mallopt(M_TRIM_THRESHOLD, 1 << 30);
     mallopt(M_MMAP_THRESHOLD, 1 << 30);
     mallopt(M_TOP_PAD, 16 << 20);
--- a/src/load_test/cloud_server.cpp
+++ b/src/load_test/cloud_server.cpp
@@ -1,5 +1,6 @@
 #include "load_test/cloud_server.hpp"
 
+#include "load_test/json_reply.hpp"
 #include "model/machine.hpp"
 #include "wire/json.hpp"
 
@@ -14,13 +15,6 @@
 constexpr int most_rented = 50;
 constexpr double burst_s = 2;
 
-net::Reply reply(unsigned status, const json::object& body) {
-    net::Reply out;
-    out.status = status;
-    out.body = json::serialize(body);
-    return out;
-}
-
 const char* status_of(model::MachineStatus status) {
     return status == model::MachineStatus::failed    ? "failed"
            : status == model::MachineStatus::running ? "running"
@@ -43,9 +37,9 @@
     events_.advance_to(model::Clock::now());
     net::Reply out;
     try {
-        out = calls_.take(1, events_.now()) ? answer(request) : reply(429, {});
+        out = calls_.take(1, events_.now()) ? answer(request) : json_reply(429, {});
     } catch (const std::exception& e) {
-        out = reply(400, {{"error", e.what()}});
+        out = json_reply(400, {{"error", e.what()}});
     }
     co_return out;
 }
@@ -53,11 +47,11 @@
 net::Reply CloudServer::answer(const net::Request& request) {
     const auto query = parse_query(request.target);
     const bool post = request.verb == verb::post;
-    if (query.path == "/catalog") return reply(200, wire::catalog_record(scenario_.types));
+    if (query.path == "/catalog") return json_reply(200, wire::catalog_record(scenario_.types));
     if (query.path == "/machines" && !post) return list(query);
     if (query.path == "/machines") return rent(request.body);
     if (query.path == "/machines/release" && post) return release(request.body);
-    return reply(404, {});
+    return json_reply(404, {});
 }
 
 net::Reply CloudServer::list(const Query& query) const {
@@ -74,30 +68,30 @@
                                      {"status", status_of(m.status)},
                                      {"held_s", m.age.count()}});
     }
-    return reply(200, {{"hosts", std::move(hosts)}, {"truncated", found.size() > page}});
+    return json_reply(200, {{"hosts", std::move(hosts)}, {"truncated", found.size() > page}});
 }
 
 net::Reply CloudServer::rent(const std::string& body) {
     const auto o = wire::parse_object(body);
     const auto text = [&](const char* field) { return std::string(o.at(field).as_string()); };
     const auto number = o.at("number").to_number<int>();
-    if (number < 1 || number > most_rented) return reply(400, {{"error", "number: out of range"}});
+    if (number < 1 || number > most_rented) return json_reply(400, {{"error", "number: out of range"}});
     auto granted = rentals_.rent(text("hire"), text("hosttype"), text("hall"), o.at("loaners").as_bool(), number);
     for (const auto* machine : granted.fresh) links_.rented(*machine);
-    if (granted.result.outcome != cloud::Rent::granted) return reply(503, {{"error", "no capacity"}});
-    return reply(200, {{"hosts", json::value_from(granted.result.machines)}});
+    if (granted.result.outcome != cloud::Rent::granted) return json_reply(503, {{"error", "no capacity"}});
+    return json_reply(200, {{"hosts", json::value_from(granted.result.machines)}});
 }
 
 net::Reply CloudServer::release(const std::string& body) {
     const auto parsed = wire::parse_object(body);
     const auto names = json::value_to<std::vector<std::string>>(parsed.at("hosts"));
-    if (names.size() > most_released) return reply(400, {{"error", "hosts: too many"}});
+    if (names.size() > most_released) return json_reply(400, {{"error", "hosts: too many"}});
     for (const auto& name : names)
         if (const auto* machine = rentals_.find(name)) {
             links_.released(*machine);
             rentals_.release(name);
         }
-    return reply(200, {});
+    return json_reply(200, {});
 }
 
 }  // namespace flintdale::load_test
--- a/src/load_test/hollow_workers.cpp
+++ b/src/load_test/hollow_workers.cpp
@@ -198,9 +198,9 @@
 
 WorkerCounts HollowWorkers::counts() const {
     auto out = counts_;
-    out.started = fleet_.started;
-    out.finished = fleet_.finished;
-    out.lease_kills = fleet_.lease_kills;
+    out.started = fleet_.task_stats().started;
+    out.finished = fleet_.task_stats().finished;
+    out.lease_kills = fleet_.task_stats().lease_kills;
     return out;
 }
 
--- a/src/load_test/load_test.hpp
+++ b/src/load_test/load_test.hpp
@@ -53,7 +53,10 @@
     void fail_one(bool dies);
     void fail(const std::string& why);
     std::size_t memory_in_use() const;
-    boost::json::object rates() const;
+    boost::json::object parameters() const;
+    boost::json::object totals() const;  // of the whole run
+    boost::json::object window() const;
+    boost::json::object rates() const;  // of the window, a second
     boost::json::object handover() const;
     boost::json::array processes() const;
 
--- a/src/load_test/plan.cpp
+++ b/src/load_test/plan.cpp
@@ -18,7 +18,8 @@
 namespace {
 
 constexpr std::size_t most_workers = 28'000;  // as many loopback addresses are set aside for them
-constexpr std::size_t most_controllers = 50, most_processes = 200;
+constexpr std::size_t most_controllers = 50, most_processes = 200, most_zones = 100, most_teams = 1000,
+                      most_users = 2000;
 constexpr std::size_t workers_of_a_process = 5'000;
 constexpr std::size_t files_of_a_worker = 2, other_files = 500;  // its connection and its own listening socket
 // For the check before the start, from runs: docs/CAPACITY.md.
@@ -112,6 +113,90 @@
                                       memory_bound() >> 20));
 }
 
+// The scenario's file, with another time between two heartbeats of a worker where the command line gives one.
+std::string read_with_heartbeat_interval(const std::string& path, const std::optional<double>& report_s) {
+    auto file = read(path);
+    if (!report_s) return file;
+    if (*report_s < 1 || *report_s > 60)
+        throw ConfigError(fmt::format("report_s: expected 1 to 60, found {}", *report_s));
+    const std::regex setting(R"((^|\n)report_s = [0-9.]+)");
+    return std::regex_replace(file, setting, fmt::format("$1report_s = {}", *report_s));
+}
+
+toml::table parse_toml(const std::string& text, const std::string& path) {
+    try {
+        return toml::parse(text, path);
+    } catch (const toml::parse_error& e) {
+        throw ConfigError(fmt::format("{}: line {}: {}", path, e.source().begin.line, e.description()));
+    }
+}
+
+void read_sizes(Plan& plan, const Table& values, const Overrides& overrides) {
+    // The file's value must be valid also where the command line replaces it.
+    const auto size = [&](const char* key, const std::optional<std::size_t>& replaced, std::size_t most) {
+        const auto from_file = values.count(key, 1, static_cast<double>(most));
+        return checked(replaced.value_or(from_file), 1, most, key);
+    };
+    plan.workers = size("workers", overrides.workers, most_workers);
+    plan.controllers = size("controllers", overrides.controllers, most_controllers);
+    plan.zones = size("zones", overrides.zones, most_zones);
+    plan.teams = size("teams", overrides.teams, most_teams);
+    plan.users = values.count("users", 1, most_users);
+}
+
+void read_times(Plan& plan, const Table& values, const Overrides& overrides) {
+    plan.length = Seconds(overrides.length_s.value_or(values.number("length_s", 5, 600)));
+    if (plan.length < Seconds(5) || plan.length > Seconds(600))
+        throw ConfigError(fmt::format("length_s: expected 5 to 600, found {}", plan.length.count()));
+    plan.ramp = Seconds(values.number("ramp_s", 0, 60));
+    plan.window_from = Seconds(overrides.window_from_s.value_or(values.number("window_from_s", 0, 600)));
+    plan.window = Seconds(overrides.window_s.value_or(values.number("window_s", 1, 600)));
+    const auto window_end = plan.window_from + plan.window;
+    if (plan.window_from < Seconds(0) || plan.window < Seconds(1) || window_end > plan.length)
+        throw ConfigError("window_s: expected a second or more, within the run's length");
+    plan.kill_leader_at = Seconds(overrides.kill_leader_s.value_or(values.number("kill_leader_s", 0, 600)));
+    const bool kills = plan.kill_leader_at.count() != 0;
+    if (kills && (plan.kill_leader_at >= plan.length || plan.kill_leader_at < window_end))
+        throw ConfigError("kill_leader_s: expected after the window that is measured, within the run's length");
+    plan.controller_back = Seconds(values.number("controller_back_s", 0, 600));
+}
+
+void read_failure_rates(Plan& plan, const Table& values, const Overrides& overrides) {
+    const double factor = overrides.failure_factor.value_or(1);
+    if (factor < 0) throw ConfigError("failure factor: expected 0 or more");
+    plan.restarts_a_day = values.number("restarts_a_day", 0, 1000) * factor;
+    plan.deaths_a_day = values.number("deaths_a_day", 0, 1000) * factor;
+}
+
+// The parts of the scenario's text that follow from the sizes.
+std::string world_text(const Plan& plan) {
+    std::string out = "\n[world]\nmembers = " + quoted_list(plan.controllers, controller_name) + "\nmember_zones = [";
+    for (std::size_t i = 0; i < plan.controllers; ++i)
+        out += fmt::format("{}\"{}\"", i ? ", " : "", zone_name(i % plan.zones));
+    return out + fmt::format("]\nwarm = {}\ncapacity = {}\n[cluster]\nnodes = {}\nzones = {}\n", plan.workers,
+                             plan.workers, plan.controllers, quoted_list(plan.zones, zone_name));
+}
+
+std::string limits_text(const Table& values, const Overrides& overrides) {
+    const auto sockets = overrides.max_sockets.value_or(values.number("max_sockets", 16, 100'000));
+    return fmt::format("[cluster.limits]\nmax_sockets = {}\ncore_share = {}\n", sockets,
+                       values.number("core_share", 0.001, 1));
+}
+
+void set_zones(Plan& plan) {
+    for (auto& type : plan.scenario.types) {
+        type.zones.clear();
+        for (std::size_t i = 0; i < plan.zones; ++i) type.zones.push_back(zone_name(i));
+    }
+}
+
+void check_gangs(const Plan& plan) {
+    if (plan.hollow_processes <= 1) return;
+    for (const auto& job : plan.scenario.jobs)
+        if (job.like.kind == model::JobKind::gang && !job.like.one_zone)
+            throw ConfigError("jobs: a gang must be of one zone where workers are spread over processes");
+}
+
 }  // namespace
 
 std::size_t memory_bound() {
@@ -149,72 +234,31 @@
     return out + scenario.cluster;
 }
 
-Plan make_plan(const std::string& path, const Overrides& o) {
-    auto file = read(path);
-    if (o.report_s) {
-        if (*o.report_s < 1 || *o.report_s > 60)
-            throw ConfigError(fmt::format("report_s: expected 1 to 60, found {}", *o.report_s));
-        const std::regex setting(R"((^|\n)report_s = [0-9.]+)");
-        file = std::regex_replace(file, setting, fmt::format("$1report_s = {}", *o.report_s));
-    }
-    toml::table root;
-    try {
-        root = toml::parse(file, path);
-    } catch (const toml::parse_error& e) {
-        throw ConfigError(fmt::format("{}: line {}: {}", path, e.source().begin.line, e.description()));
-    }
+Plan make_plan(const std::string& path, const Overrides& overrides) {
+    const auto file = read_with_heartbeat_interval(path, overrides.report_s);
+    const auto root = parse_toml(file, path);
     const auto* table = root["scale"].as_table();
     if (!table) throw ConfigError(path + ": scale: expected a table");
-    const Table t(*table);
-    Plan p;
-    p.workers = checked(o.workers.value_or(t.count("workers", 1, most_workers)), 1, most_workers, "workers");
-    p.controllers = checked(o.controllers.value_or(t.count("controllers", 1, most_controllers)), 1, most_controllers,
-                            "controllers");
-    p.zones = checked(o.zones.value_or(t.count("zones", 1, 100)), 1, 100, "zones");
-    p.teams = checked(o.teams.value_or(t.count("teams", 1, 1000)), 1, 1000, "teams");
-    p.users = t.count("users", 1, 2000);
-    p.length = Seconds(o.length_s.value_or(t.number("length_s", 5, 600)));
-    if (p.length < Seconds(5) || p.length > Seconds(600))
-        throw ConfigError(fmt::format("length_s: expected 5 to 600, found {}", p.length.count()));
-    p.ramp = Seconds(t.number("ramp_s", 0, 60));
-    p.window_from = Seconds(o.window_from_s.value_or(t.number("window_from_s", 0, 600)));
-    p.window = Seconds(o.window_s.value_or(t.number("window_s", 1, 600)));
-    if (p.window_from < Seconds(0) || p.window < Seconds(1) || p.window_from + p.window > p.length)
-        throw ConfigError("window_s: expected a second or more, within the run's length");
-    p.kill_leader_at = Seconds(o.kill_leader_s.value_or(t.number("kill_leader_s", 0, 600)));
-    if (p.kill_leader_at.count() != 0 && (p.kill_leader_at >= p.length || p.kill_leader_at < p.window_from + p.window))
-        throw ConfigError("kill_leader_s: expected after the window that is measured, within the run's length");
-    p.controller_back = Seconds(t.number("controller_back_s", 0, 600));
-    const double factor = o.failure_factor.value_or(1);
-    if (factor < 0) throw ConfigError("failure factor: expected 0 or more");
-    p.restarts_a_day = t.number("restarts_a_day", 0, 1000) * factor;
-    p.deaths_a_day = t.number("deaths_a_day", 0, 1000) * factor;
-    p.operator_config = o.operator_config.value_or("");
-    p.seed = o.seed;
-    const auto network = o.network ? o.network : 2 + static_cast<unsigned>(getpid()) % 250;
-    p.addresses = Addresses(network);
-    p.hollow_processes = std::min(p.zones, (p.workers + workers_of_a_process - 1) / workers_of_a_process);
-
-    std::string text =
-        file + "\n[world]\nmembers = " + quoted_list(p.controllers, controller_name) + "\nmember_zones = [";
-    for (std::size_t i = 0; i < p.controllers; ++i)
-        text += fmt::format("{}\"{}\"", i ? ", " : "", zone_name(i % p.zones));
-    text += fmt::format("]\nwarm = {}\ncapacity = {}\n[cluster]\nnodes = {}\nzones = {}\n", p.workers, p.workers,
-                        p.controllers, quoted_list(p.zones, zone_name));
-    text += teams_text(root, p.workers, p.teams, t.number("team_parts", 1, 1000));
-    text += fmt::format("[cluster.limits]\nmax_sockets = {}\ncore_share = {}\n",
-                        o.max_sockets.value_or(t.number("max_sockets", 16, 100'000)), t.number("core_share", 0.001, 1));
-    p.scenario = simulator::parse_scenario(text, path.substr(path.rfind('/') + 1));
-    for (auto& type : p.scenario.types) {
-        type.zones.clear();
-        for (std::size_t i = 0; i < p.zones; ++i) type.zones.push_back(zone_name(i));
-    }
-    for (const auto& job : p.scenario.jobs)
-        if (job.like.kind == model::JobKind::gang && !job.like.one_zone && p.hollow_processes > 1)
-            throw ConfigError("jobs: a gang must be of one zone where workers are spread over processes");
-    scale_jobs(p.scenario, static_cast<double>(p.workers) / t.number("jobs_for_workers", 1, most_workers));
-    check_machine(p);
-    return p;
+    const Table values(*table);
+    Plan plan;
+    read_sizes(plan, values, overrides);
+    read_times(plan, values, overrides);
+    read_failure_rates(plan, values, overrides);
+    plan.operator_config = overrides.operator_config.value_or("");
+    plan.seed = overrides.seed;
+    const auto network = overrides.network ? overrides.network : 2 + static_cast<unsigned>(getpid()) % 250;
+    plan.addresses = Addresses(network);
+    plan.hollow_processes = std::min(plan.zones, (plan.workers + workers_of_a_process - 1) / workers_of_a_process);
+
+    const auto text = file + world_text(plan) +
+                      teams_text(root, plan.workers, plan.teams, values.number("team_parts", 1, 1000)) +
+                      limits_text(values, overrides);
+    plan.scenario = simulator::parse_scenario(text, path.substr(path.rfind('/') + 1));
+    set_zones(plan);
+    check_gangs(plan);
+    scale_jobs(plan.scenario, static_cast<double>(plan.workers) / values.number("jobs_for_workers", 1, most_workers));
+    check_machine(plan);
+    return plan;
 }
 
 }  // namespace flintdale::load_test
--- a/src/load_test/state_server.cpp
+++ b/src/load_test/state_server.cpp
@@ -1,6 +1,7 @@
 #include "load_test/state_server.hpp"
 
 #include "election/elector.hpp"
+#include "load_test/json_reply.hpp"
 #include "wire/json.hpp"
 
 namespace flintdale::load_test {
@@ -18,14 +19,7 @@
 constexpr std::uint64_t shortest_lease_ms = 100, longest_lease_ms = 600'000;
 const std::string key_prefix = "/kv/", lease_prefix = "/grants/";
 
-net::Reply reply(unsigned status, const json::object& body) {
-    net::Reply out;
-    out.status = status;
-    out.body = json::serialize(body);
-    return out;
-}
-
-net::Reply malformed(const std::string& why) { return reply(400, {{"error", why}}); }
+net::Reply malformed(const std::string& why) { return json_reply(400, {{"error", why}}); }
 
 json::object item_json(const state::KeyValue& item) {
     return {{"key", item.key}, {"v", item.value}, {"stamp", item.mod_revision}};
@@ -79,7 +73,7 @@
     net::Reply out;
     if (!requests_.take(1, events_.now())) {
         ++counts_.refused;
-        co_return reply(429, {});
+        co_return json_reply(429, {});
     }
     bool is_watch = false;
     Query query;
@@ -98,7 +92,7 @@
         } else if (query.path == "/grants" || query.path.starts_with(lease_prefix)) {
             out = leases(request, query.path);
         } else {
-            out = reply(404, {});
+            out = json_reply(404, {});
         }
     } catch (const std::exception& e) {
         out = malformed(e.what());
@@ -110,7 +104,7 @@
 
 net::Reply StateServer::get(const std::string& key) {
     const auto item = store_.get(key);
-    return item.mod_revision ? reply(200, item_json(item)) : reply(404, {{"epoch", store_.revision()}});
+    return item.mod_revision ? json_reply(200, item_json(item)) : json_reply(404, {{"epoch", store_.revision()}});
 }
 
 net::Reply StateServer::range(const Query& query) {
@@ -125,7 +119,7 @@
         items.push_back(std::move(o));
     }
     const bool more = found.more || items.size() < found.items.size();
-    return reply(200, {{"items", std::move(items)}, {"truncated", more}, {"epoch", found.revision}});
+    return json_reply(200, {{"items", std::move(items)}, {"truncated", more}, {"epoch", found.revision}});
 }
 
 net::Reply StateServer::commit(const std::string& body) {
@@ -136,27 +130,27 @@
         if (c.value && json::serialize(*c.value).size() > limits_.value_bytes) return malformed("value too large");
     if (!writes_.take(static_cast<double>(txn.changes.size()), events_.now())) {
         ++counts_.refused;
-        return reply(429, {});
+        return json_reply(429, {});
     }
     counts_.writes += txn.changes.size();
     const auto result = store_.commit(txn);
     if (result.outcome == state::Outcome::no_lease) return malformed("no such lease");
-    if (result.outcome == state::Outcome::ok) return reply(200, {{"epoch", result.revision}});
-    return reply(409, {{"failed", json::value_from(result.failed)}, {"epoch", result.revision}});
+    if (result.outcome == state::Outcome::ok) return json_reply(200, {{"epoch", result.revision}});
+    return json_reply(409, {{"failed", json::value_from(result.failed)}, {"epoch", result.revision}});
 }
 
 net::Reply StateServer::leases(const net::Request& request, const std::string& path) {
     if (path == "/grants") {
         const auto ttl = wire::parse_object(request.body).at("life_ms").to_number<std::uint64_t>();
         if (ttl < shortest_lease_ms || ttl > longest_lease_ms) return malformed("life_ms: out of range");
-        return reply(200, {{"permit", store_.grant(std::chrono::milliseconds(ttl))}});
+        return json_reply(200, {{"permit", store_.grant(std::chrono::milliseconds(ttl))}});
     }
     const auto id = std::stoull(path.substr(lease_prefix.size()));
     if (request.verb == verb::delete_) {
         store_.revoke(id);
-        return reply(200, {});
+        return json_reply(200, {});
     }
-    return store_.renew(id) ? reply(200, {{"permit", id}}) : reply(404, {});
+    return store_.renew(id) ? json_reply(200, {{"permit", id}}) : json_reply(404, {});
 }
 
 awaitable<net::Reply> StateServer::watch(Query query) {
@@ -172,7 +166,7 @@
         if (first || over || store_.revision() != looked_at) {
             looked_at = store_.revision();
             const auto seen = store_.changes(prefix, from);
-            if (seen.outcome == state::Outcome::too_old) co_return reply(410, {});
+            if (seen.outcome == state::Outcome::too_old) co_return json_reply(410, {});
             if (!seen.events.empty() || over) {
                 json::array events;
                 for (std::size_t i = 0; i < seen.events.size(); ++i) {
@@ -182,7 +176,7 @@
                     else
                         events.push_back(json::object{{"write", e.key}, {"v", e.value}, {"stamp", e.mod_revision}});
                 }
-                co_return reply(200, {{"epoch", seen.revision}, {"events", std::move(events)}});
+                co_return json_reply(200, {{"epoch", seen.revision}, {"events", std::move(events)}});
             }
         }
         co_await net::sleep_for(watch_step);
--- a/src/simulator/checker.hpp
+++ b/src/simulator/checker.hpp
@@ -1,4 +1,5 @@
-// Watches the rules of the protocol from outside: what is on machines, and what users are told.
+// Checks the rules of the protocol from outside: it compares what is on machines with what users are told. Knows
+// nothing of controllers.
 #pragma once
 #include <map>
 #include <set>
@@ -12,27 +13,29 @@
 
 using TaskName = std::pair<std::string, std::uint32_t>;
 
+// Where a task is.
 struct Place {
     std::string machine, type, zone;
     bool spot = false;
 };
 
-// Hears what becomes of tasks on machines.
+// Receives what happens to tasks on machines.
 class TaskObserver {
   public:
     virtual ~TaskObserver() = default;
-    virtual void arrives(const TaskName& task, const Place& place) = 0;  // it is on the machine: it has its image
+    virtual void arrives(const TaskName& task, const Place& place) = 0;  // its image is on the machine
     virtual void leaves(const TaskName& task, const std::string& machine) = 0;
     virtual void completed(const TaskName& task) = 0;
-    // The worker has an order to run it. Nothing depends on hearing this.
+    // The worker has received a command to run it. Optional: no rule depends on it.
     virtual void ordered(const TaskName&) {}
 };
 
+// Counts violations of the rules. Ids of jobs are those of their submissions.
 class Checker : public TaskObserver {
   public:
     Checker(Events& events, const config::Settings& settings) : events_(events), settings_(settings) {}
 
-    // --- the truth ---
+    // --- what is the case ---
     void submitted(const model::JobSpec& spec) { jobs_[spec.uid].spec = spec; }
     void arrives(const TaskName& task, const Place& place) override;
     void leaves(const TaskName& task, const std::string& machine) override;
@@ -43,8 +46,8 @@
 
     // --- what users are told ---
     void accepted(const std::string& uid) { jobs_[uid].accepted = true; }
-    // `asked`: when the user sent the question. Answers overtake one another; what was asked before a word may be
-    // older.
+    // `asked`: when the user sent the question. Answers overtake one another; what was asked before a status was told
+    // may be answered with an older one.
     void told(const std::string& uid, const std::string& status, TimePoint asked);
     void told_unknown(const std::string& uid);  // 404, or 400 or 422 to a repetition
     void accepted_invalid(const std::string& uid) { record_violation("unsound", uid + " was accepted"); }
@@ -55,7 +58,7 @@
     // Whether so many more tasks of the job's kind would keep its team within its limit.
     bool within_limit(const model::JobSpec& spec, std::size_t tasks) const;
     void left_waiting(const std::string& uid) { record_violation("left_waiting", uid); }
-    void unanswered(const std::string& uid);  // no question about it for long after all troubles
+    void unanswered(const std::string& uid);  // no question about it was answered for long after all faults
     // Whether its user has been told that it is over.
     bool final_told(const std::string& uid) const {
         const auto it = jobs_.find(uid);
--- a/src/simulator/fault.hpp
+++ b/src/simulator/fault.hpp
@@ -1,5 +1,5 @@
 // A fault that is injected into a simulated run: its kind, time, extent and target. What each kind does stands in
-// fault_injector.cpp; the names in scenario files are mapped here, and docs/emulator.md lists them.
+// fault_injector.cpp; the names in scenario files are mapped here, and docs/simulator.md lists them.
 #pragma once
 #include <optional>
 #include <string>
--- a/src/simulator/fault_injector.cpp
+++ b/src/simulator/fault_injector.cpp
@@ -93,7 +93,7 @@
     if (fault.kind != FaultKind::store_outage || !isolated_leader_) return;
     if (fault.duration <= settings_.cancel_deadline) return;
     result_.met_workers = fleet_.answered_by(*isolated_leader_, settings_.heartbeat_interval * 1.5);
-    result_.met_answers = fleet_.last_answer[*isolated_leader_] > isolated_since_ + 100ms;
+    result_.met_answers = fleet_.last_answer_from(*isolated_leader_) > isolated_since_ + 100ms;
 }
 
 std::vector<std::size_t> FaultInjector::targets(const Fault& fault) const {
--- a/src/simulator/jobs.hpp
+++ b/src/simulator/jobs.hpp
@@ -7,7 +7,7 @@
 
 namespace flintdale::simulator {
 
-// The job of that number, with the luck of the run in its size and image.
+// The job of that number, with its size and image drawn by the run's random source.
 model::JobSpec new_job_spec(const JobClass& job_class, std::uint64_t number, Events& events);
 
 // POST /submissions, as its user sends it.
--- a/src/simulator/rentals.hpp
+++ b/src/simulator/rentals.hpp
@@ -1,4 +1,4 @@
-// The cloud's books: what is rented, under which request, and what its list shows of it.
+// The cloud's records: which machines are rented, under which request, and what its list shows of them.
 #pragma once
 #include <map>
 
--- a/src/simulator/run_observer.cpp
+++ b/src/simulator/run_observer.cpp
@@ -42,8 +42,8 @@
     check_leaders();
     check_unanswered_jobs();
     check_rebuilds();
-    if (data_lost_at_ && fleet_.last_start > *data_lost_at_ + model::to_clock(placing_settles)) {
-        const Seconds waited = fleet_.last_start - *data_lost_at_;
+    if (data_lost_at_ && fleet_.task_stats().last_start > *data_lost_at_ + model::to_clock(placing_settles)) {
+        const Seconds waited = fleet_.task_stats().last_start - *data_lost_at_;
         result_.placing_after = std::max(result_.placing_after, waited.count());
         data_lost_at_.reset();
     }
@@ -151,13 +151,14 @@
 }
 
 void RunObserver::record_undisturbed(const std::map<TaskName, std::string>& before) {
+    const auto& all_stopped = fleet_.task_stats().stopped;
     std::size_t counted = 0, undisturbed = 0;
     const auto since = events_.now() - model::to_clock(disturbance_period);
     for (const auto& [task, machine] : before) {
         if (!fleet_.alive(machine) || cancelled_by_user(task.first)) continue;
-        const auto stopped = fleet_.stopped.find(task);
+        const auto stopped = all_stopped.find(task);
         ++counted;
-        undisturbed += stopped == fleet_.stopped.end() || stopped->second < since;
+        undisturbed += stopped == all_stopped.end() || stopped->second < since;
     }
     if (!counted) return;
     const auto share = static_cast<double>(undisturbed) / static_cast<double>(counted);
@@ -171,8 +172,8 @@
     result_.first = checker_.first();
     result_.forgotten = checker_.forgotten();
     result_.machines = fleet_.up();
-    result_.started = fleet_.started;
-    result_.lease_kills = fleet_.lease_kills;
+    result_.started = fleet_.task_stats().started;
+    result_.lease_kills = fleet_.task_stats().lease_kills;
     result_.cancelled_running = checker_.cancelled_running();
     result_.late_starts = checker_.late_starts();
     result_.longest_gone = checker_.longest_gone().count();
--- a/src/simulator/state_service.hpp
+++ b/src/simulator/state_service.hpp
@@ -1,4 +1,4 @@
-// The state service by its protocol, and what can happen to it: outages, late transactions, lost answers, lost data.
+// The key-value store by its protocol, and its faults: outages, late transactions, lost answers, lost data.
 #pragma once
 #include <deque>
 #include <map>
@@ -29,7 +29,7 @@
     void expire_all_leases();  // leases, as if nobody had renewed one
     std::uint64_t revision() const { return revision_; }
 
-    // Data are lost. Nobody is told.
+    // Loss of data. The store gives no sign of it.
     void erase_all();
     void roll_back(Seconds by);                                        // to what it was that long ago
     std::size_t erase(const std::string& prefix);                      // silently
@@ -57,7 +57,7 @@
     std::uint64_t revision_ = 0, last_lease_ = 0;
 };
 
-// How one controller reaches it.
+// One controller's connection to the store.
 class StoreLink : public state::Service {
   public:
     StoreLink(net::Executor ex, Events& events, KeyValueStore& keys, const config::StoreLimits& limits,
