--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -258,7 +258,7 @@
     const auto records = recovery_.own_status();
     status.generation = records.generation;
     status.history = records.id;
-    status.replica_revision = records.remembers;
+    status.replica_revision = records.complete_up_to;
     status.rebuilding = records.rebuilding;
     status.incarnation = incarnation_;
     status.cancellations = cancellations_.make_report(Clock::now());
--- a/src/app/peer_table.cpp
+++ b/src/app/peer_table.cpp
@@ -12,7 +12,7 @@
 void PeerTable::update(const peer::StatusMessage& message, TimePoint now) {
     auto& peer = peers_[message.member];
     peer.received_at = now;
-    peer.reaches_store = message.state_ok;
+    peer.reaches_store = message.store_healthy;
     peer.leading = message.leading;
     peer.relays = message.relays;
     peer.knows_records = message.generation > 0;
--- a/tests/golden_election_test.cpp
+++ b/tests/golden_election_test.cpp
@@ -69,7 +69,7 @@
         election::Elector::Events events;
         election::Term won;
         events.elected = [&](election::Term term) { won = term; };
-        events.deposed = [] {};
+        events.stepped_down = [] {};
         election::Elector elector(io.get_executor(), store, "hearth-0", model::Seconds(2.5), events,
                                   [time_of_day] { return time_of_day; });
         net::asio::co_spawn(io, elector.run(), net::asio::detached);
@@ -90,7 +90,7 @@
     store.keys.commit(txn);
     election::Elector::Events events;
     events.elected = [](election::Term) {};
-    events.deposed = [] {};
+    events.stepped_down = [] {};
     election::Elector elector(io.get_executor(), store, "hearth-1", model::Seconds(2.5), events);
     net::asio::co_spawn(io, elector.run(), net::asio::detached);
     settle(io);
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -12,12 +12,12 @@
     status.member = "hearth-0";
     status.leader = "hearth-1";
     status.term = 1'700'000'000'123;
-    status.state_ok = true;
+    status.store_healthy = true;
     status.writes = 12.75;
     status.redirects = 17;
     status.format = 2;
     status.generation = 3;
-    status.remembers = 8'000'000'456;
+    status.replica_revision = 8'000'000'456;
     status.rebuilding = 4;
     status.history = "hearth-2-1600000000000";
     status.counts.resize(2);
@@ -30,12 +30,12 @@
     status.capacity = 202;
     status.fleet = 303;
     status.cancellations.number = 9'000'000'001;
-    status.cancellations.heard.resize(2);
-    status.cancellations.heard[0].member = "hearth-1";
-    status.cancellations.heard[0].incarnation = 1'700'000'000'123'004;
-    status.cancellations.heard[0].number = 77;
-    status.cancellations.heard[1].member = "hearth-2";
-    status.cancellations.lately = {"run-5", "run-6"};
+    status.cancellations.received.resize(2);
+    status.cancellations.received[0].member = "hearth-1";
+    status.cancellations.received[0].incarnation = 1'700'000'000'123'004;
+    status.cancellations.received[0].number = 77;
+    status.cancellations.received[1].member = "hearth-2";
+    status.cancellations.recent = {"run-5", "run-6"};
     status.incarnation = 1'700'000'000'123'005;
     return status;
 }
@@ -44,7 +44,7 @@
 peer::StatusMessage other_flags(bool leading, bool whole) {
     peer::StatusMessage status;
     status.leading = leading;
-    status.cancellations.whole = whole;
+    status.cancellations.complete = whole;
     return status;
 }
 
@@ -98,7 +98,7 @@
     peer::RelayMessage message;
     message.member = "hearth-0";
     message.incarnation = 1'700'000'000'123'004;
-    message.to = 1'700'000'000'123'005;
+    message.receiver_incarnation = 1'700'000'000'123'005;
     message.reports.resize(2);
     message.reports[0].number = 9'000'000'001;
     message.reports[0].handle = 41;
@@ -108,7 +108,7 @@
     message.repeated[0].number = 9'000'000'003;
     message.repeated[0].handle = 42;
     message.repeated[0].sequence = 89;
-    message.repeated[0].full = 9'000'000'000;
+    message.repeated[0].original = 9'000'000'000;
     for (const auto outcome :
          {peer::RelayOutcome::answered, peer::RelayOutcome::refused, peer::RelayOutcome::unknown_handle}) {
         peer::RelayedResponse answer;
@@ -167,14 +167,14 @@
 // A beat with every field, and each flag that it leaves out by itself.
 TEST(GoldenTest, BeatsAreWrittenAndReadAsBefore) {
     expect_golden("beat_full.bin", peer::encode(full_beat()));
-    expect_golden("beat_full.bin", peer::encode(peer::decode(golden("beat_full.bin"))));
+    expect_golden("beat_full.bin", peer::encode(peer::decode_status(golden("beat_full.bin"))));
     expect_golden("beat_leading.bin", peer::encode(other_flags(true, false)));
-    expect_golden("beat_leading.bin", peer::encode(peer::decode(golden("beat_leading.bin"))));
+    expect_golden("beat_leading.bin", peer::encode(peer::decode_status(golden("beat_leading.bin"))));
     expect_golden("beat_whole.bin", peer::encode(other_flags(false, true)));
-    expect_golden("beat_whole.bin", peer::encode(peer::decode(golden("beat_whole.bin"))));
-    const auto read = peer::decode(golden("beat_full.bin"));
+    expect_golden("beat_whole.bin", peer::encode(peer::decode_status(golden("beat_whole.bin"))));
+    const auto read = peer::decode_status(golden("beat_full.bin"));
     EXPECT_TRUE(read.state_ok && read.relays);
-    EXPECT_FALSE(read.leading || read.cancellations.whole);
+    EXPECT_FALSE(read.leading || read.cancellations.complete);
     EXPECT_EQ(read.term, full_beat().term);
     EXPECT_EQ(read.connection, 0u);
 }
--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -128,11 +128,11 @@
     state::GenerationMarker full;
     full.generation = 4;
     full.id = "hearth-0-1700000000123";
-    full.by = "hearth-1";
+    full.rebuilder = "hearth-1";
     full.term = 1'700'000'000'400;
-    full.of = "hearth-2-1600000000000";
-    full.remembers = 8'000'000'123;
-    full.beyond_memory = true;
+    full.base_history = "hearth-2-1600000000000";
+    full.base_revision = 8'000'000'123;
+    full.loss_exceeds_replica = true;
     full.rebuilders = {1'700'000'000'300, 1'700'000'000'400};
     full.keys_only = true;
     full.missing = {"hearth-1", "hearth-2"};
@@ -157,12 +157,12 @@
     for (const auto& record : records) service.put({record});
     auto former = markers().at(1);
     former.id = "hearth-1-1";
-    former.beyond_memory = what == Offering::has_led_unsettled;
+    former.loss_exceeds_replica = what == Offering::has_led_unsettled;
     service.put({marker_change(former)});
     state::Change unsettled;
     unsettled.key = recovery::unsettled_key;
     unsettled.value = boost::json::object();
-    if (former.beyond_memory) service.put({unsettled});
+    if (former.loss_exceeds_replica) service.put({unsettled});
     service.start();
     service.pass(3);
     if (what == Offering::has_led || what == Offering::has_led_unsettled) service.lead(own_term - 5);
@@ -172,11 +172,11 @@
     service.wipe();
     auto marker = markers().at(3);
     marker.generation = 2;
-    marker.by = "hearth-0";
+    marker.rebuilder = "hearth-0";
     marker.term = own_term;
     if (what == Offering::newer_only) {
-        marker.of = former.id;
-        marker.remembers = records.size() - 1;
+        marker.base_history = former.id;
+        marker.base_revision = records.size() - 1;
     }
     service.store.noted.clear();
     service.put({marker_change(marker)});
