--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -22,7 +22,7 @@
     update_row();
 }
 
-model::Seconds Machine::again(model::Seconds boot) const {
+model::Seconds Machine::replacement_time(model::Seconds boot) const {
     double cached_gb = 0;
     for (const auto& image : images) cached_gb += image.gb;
     return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? cached_gb / row.fetch_gb_per_s : 0));
--- a/src/fleet/machine_inventory.hpp
+++ b/src/fleet/machine_inventory.hpp
@@ -1,4 +1,5 @@
-// The machines that are rented, as far as their reports, the cloud's answers and its lagging list tell.
+// The launched machines, as known from their heartbeats, the cloud's answers and its lagging list. Owns the machines
+// and their rows of the load table; decides nothing.
 #pragma once
 #include <map>
 #include <memory>
@@ -23,28 +24,29 @@
 
 using TaskKey = std::pair<std::string, std::uint32_t>;  // job, task
 
+// A machine as the leader knows it.
 struct Machine {
     std::string name, addr, type, zone;
     bool spot = false;
 
-    // What its reports said last. A report counts as newer by (tenure, tick).
+    // What its last heartbeat said. A heartbeat is newer than another by (incarnation, sequence).
     std::uint64_t incarnation = 0, sequence = 0;
     bool reported = false;  // under this leader
-    bool current = false;   // it has seen this leader's term: nothing of older terms can still reach it
+    bool current = false;   // it has seen this leader's term: no command of an older term can still reach it
     TimePoint known_since{}, last_report{};
     std::optional<TimePoint> terminates_at;  // from a spot notice
 
     bool listed_failed = false;
-    TimePoint starting_at{};  // when a list last came that showed it still starting
-    bool unlisted = false;    // old enough to be listed, and missing from the newest list: likely gone, but no evidence
-    bool releasing = false;   // a release was sent, which may be carried out at any time: never used again
-    bool retiring = false;    // its tasks are moved away, and then it is returned
-    bool cordoned = false;    // spare: gets no new work while there is room elsewhere, and goes when it is empty
+    TimePoint starting_at{};   // when a list that showed it booting last came
+    bool unlisted = false;     // old enough to be listed, but missing from the newest list: no evidence that it is gone
+    bool releasing = false;    // a release was sent, which may be carried out at any time: never used again
+    bool retiring = false;     // its tasks are moved away, and then it is returned
+    bool cordoned = false;     // spare: gets no new work while there is room elsewhere, and goes when it is empty
     bool quarantined = false;  // several jobs failed on it
 
     placement::Host row;             // of the load table, kept up to date with what follows
     std::set<TaskKey> tasks;         // all that may be on it
-    std::size_t reported_tasks = 0;  // what it held by its last report, exited ones included
+    std::size_t reported_tasks = 0;  // by its last heartbeat, exited ones included
     TimePoint idle_since{};
     std::set<std::string> failed_jobs;
     struct Image {
@@ -59,21 +61,22 @@
     std::map<TaskKey, Fetch> fetching;  // tasks that wait for their image here
 
     void used_image(const Image& image, double cache_gb);
-    // What it would take to have its like again: a boot, or to fetch what it holds where that takes longer.
-    model::Seconds again(model::Seconds boot) const;
+    // How long it takes to replace it: a boot, or fetching its images where that takes longer.
+    model::Seconds replacement_time(model::Seconds boot) const;
     // The share of it that is in use, by the resource that is used most.
     double in_use() const;
-    // After a change of its images or of what it fetches.
+    // Must be called after a change of its images or fetches.
     void update_row();
 };
 
-// One kind of machine that can be rented: its type, where, and how.
+// Machines that can be requested together: of one type, in one zone, spot or on demand.
 struct Pool {
     std::string type, zone;
     bool spot = false;
     auto operator<=>(const Pool&) const = default;
 };
 
+// So many machines to be launched.
 struct InstanceRequest {
     Pool pool;
     int count = 0;
@@ -92,7 +95,7 @@
     // The machine of that name, new if it was not known.
     Machine& add(const std::string& name, const std::string& type, const std::string& zone, bool spot, TimePoint now);
     void describe(Machine& m, const std::string& type, const std::string& zone, bool spot);
-    // The cloud's word that the machine is gone. It is not taken up again from late reports or lists.
+    // The cloud has confirmed that the machine is gone. Late heartbeats and lists do not add it again.
     void remove(const std::string& name);
     bool gone(const std::string& name) const { return gone_.contains(name); }
 
@@ -104,12 +107,12 @@
     void has_image(Machine& m, const TaskKey& task, const model::JobSpec& spec);
     void unassign(Machine& m, const TaskKey& task, const model::JobSpec& spec, TimePoint now);
 
-    // What should be known of the machines under a later leader: those that hold images or are at fault, by name.
+    // Hints for a later leader: the machines that hold images or are quarantined, by name.
     std::vector<wire::MachineHint> notes() const;
-    // What a former leader noted, of machines that are known and of those that will be.
+    // Applies the hints of a former leader to machines that are known, now or later.
     void recall(std::vector<wire::MachineHint> notes);
 
-    // Pools that refused lately are left alone for a while, longer each time.
+    // The cloud refused a request: the pool is closed for a while, longer each time.
     void refused(const Pool& pool, TimePoint now);
     void granted(const Pool& pool) { back_off_.erase(pool); }
     bool open(const Pool& pool, TimePoint now) const;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -124,7 +124,7 @@
 bool Planner::candidate(const Ask& ask, const JobHosts& job, const Host& host) const {
     const auto& spec = *ask.spec;
     if (!ask.takes(host.pool) || !fits(spec.need, host.free)) return false;
-    if (host.held_for && ask.priority <= *host.held_for) return false;
+    if (host.reserved_for && ask.priority <= *host.reserved_for) return false;
     // The margin is for what else the machine holds. An empty machine needs none, or a task that fills a machine
     // could never run.
     if (host.load > 0 && host.free.memory_gb + slack < spec.need.memory_gb * (1 + margin_)) return false;
@@ -280,7 +280,7 @@
     return best.places;
 }
 
-void Planner::hold_for(const Ask& ask, std::size_t count) {
+void Planner::reserve_for_gang(const Ask& ask, std::size_t count) {
     const auto& spec = *ask.spec;
     struct Choice {
         double lack;
@@ -290,7 +290,7 @@
     std::vector<Choice> choices;
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
         const auto& h = hosts_[i];
-        if (h.held_for || !ask.takes(h.pool)) continue;
+        if (h.reserved_for || !ask.takes(h.pool)) continue;
         auto once_free = h.capacity;
         take(once_free, h.standing);
         if (!fits(spec.need, once_free)) continue;
@@ -306,7 +306,7 @@
     }
     count = std::min(count, choices.size());
     std::nth_element(choices.begin(), choices.begin() + static_cast<std::ptrdiff_t>(count - 1), choices.end());
-    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].held_for = ask.priority;
+    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].reserved_for = ask.priority;
 }
 
 bool before(const Waiting& a, const Waiting& b, double ageing) {
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,5 +1,5 @@
-// Which task goes where: the paper's section 4.2 and Algorithm 1 with the changes of docs/design.md. Pure and
-// deterministic: no clock, no I/O, no randomness.
+// Chooses machines for tasks: section 4.2 and Algorithm 1 of the users' paper with the changes of docs/design.md. Owns
+// a copy of the load table for one pass. Deterministic: no clock, no I/O, no randomness.
 #pragma once
 #include <boost/container/small_vector.hpp>
 #include <compare>
@@ -24,7 +24,7 @@
 void take(Resources& free, const Resources& need);
 void give(Resources& free, const Resources& need);
 
-// A machine as placement sees it: one row of the load table.
+// A machine as placement knows it: one row of the load table.
 struct Host {
     struct Fetch {
         Id image = 0;
@@ -38,8 +38,8 @@
     Resources capacity, free;
     Resources standing;                                    // what services hold, which do not end by themselves
     double fetch_gb_per_s = 0;                             // shared by all that it fetches
-    model::Priority fetching_for = model::Priority::idle;  // the highest rank that waits for an image
-    std::optional<model::Priority> held_for;               // its room is kept for a gang of this rank
+    model::Priority fetching_for = model::Priority::idle;  // the highest priority that waits for an image
+    std::optional<model::Priority> reserved_for;           // its room is reserved for a gang of this priority
     boost::container::small_vector<Id, 8> images;          // that it holds
     boost::container::small_vector<Fetch, 2> fetching;     // images that tasks there still wait for
 
@@ -72,11 +72,11 @@
 // Whether a task of the job may ever be on such a machine, room aside.
 bool allowed(const JobSpec& spec, const Rules& rules, const std::string& type, const std::string& zone, bool spot);
 
-// A job's wishes in numbers. Outlives nothing: the job's description must stay where it is.
+// A job's requirements in numbers. Refers to the job's specification, which must outlive it.
 struct Ask {
     const JobSpec* spec = nullptr;
     Id image = 0;
-    model::Priority priority = model::Priority::normal;  // which it may have from jobs that need it
+    model::Priority priority = model::Priority::normal;  // inherited from jobs that need it, or its own
     std::vector<char> pools;                             // by the pool's number: whether its machines are allowed
 
     bool takes(Id pool) const { return pool < pools.size() && pools[pool]; }
@@ -87,7 +87,7 @@
 class Planner {
   public:
     static constexpr std::size_t none = static_cast<std::size_t>(-1);
-    static constexpr Id no_slot = static_cast<Id>(-1);  // of a machine that is only thought of
+    static constexpr Id no_slot = static_cast<Id>(-1);  // of a machine that is not launched yet
 
     Planner(std::vector<Host> hosts, double memory_margin);
 
@@ -109,7 +109,7 @@
     // Places up to so many tasks on that host, as long as it is a candidate. Returns how many.
     std::size_t place_at(std::size_t i, const Ask& ask, JobHosts& job, std::size_t count);
 
-    // Keeps room there for a task that is on its way.
+    // Takes room there for a task that will be placed later.
     void reserve(std::size_t i, const Ask& ask);
 
     // Places so many tasks together, or none of them.
@@ -119,8 +119,9 @@
     // How many of so many tasks would find room in that zone now.
     std::size_t room_in(const Ask& ask, const JobHosts& job, std::size_t count, std::optional<Id> zone) const;
 
-    // Keeps the room that frees on the likeliest machines for a gang that does not fit now, from jobs after it.
-    void hold_for(const Ask& ask, std::size_t count);
+    // Reserves the room that will be free on the likeliest machines for a gang that does not fit now: jobs of no higher
+    // priority do not take it in this pass.
+    void reserve_for_gang(const Ask& ask, std::size_t count);
 
     std::size_t add(Host host);
     // The row of that machine, or none.
@@ -129,7 +130,7 @@
     const Host& host(std::size_t i) const { return hosts_[i]; }
     const std::vector<Host>& hosts() const { return hosts_; }
 
-    // What is placed or reserved until its end is taken back.
+    // Takes back, when it is destroyed, what was placed or reserved during its life. One at a time.
     class Trial {
       public:
         explicit Trial(Planner& plan) : plan_(plan) { plan_.trial_ = this; }
@@ -166,7 +167,7 @@
 
     bool candidate(const Ask& ask, const JobHosts& job, const Host& host) const;
     Score score(const Ask& ask, std::size_t i) const;
-    // Notes which rows are the job's own and which are excluded, for the scans that follow.
+    // Marks which rows are the job's own and which are excluded, for the scans that follow.
     void mark(const JobHosts& job) const;
     void put(std::size_t i, const Ask& ask, JobHosts& job);
     template <class F>
@@ -181,8 +182,8 @@
     Trial* trial_ = nullptr;
 };
 
-// The order of the queue: what a team is guaranteed, then rank, then window, then length less what the wait has worn
-// off it.
+// What the order of the queue goes by: the guaranteed share first, then priority, then batching window, then length
+// less the discount for the wait.
 struct Waiting {
     model::Priority priority = model::Priority::normal;
     std::int64_t window = 0;
@@ -191,6 +192,7 @@
     bool guaranteed = false;
 };
 
+// Whether a is planned before b. `ageing`: seconds of length that a second of waiting outweighs.
 bool before(const Waiting& a, const Waiting& b, double ageing);
 
 }  // namespace flintdale::placement
--- a/src/recovery/records_rebuilder.hpp
+++ b/src/recovery/records_rebuilder.hpp
@@ -1,5 +1,5 @@
 // Rebuilds the records after a loss: claims the rebuilding in the marker, gathers what all replicas and the store hold,
-// merges it, writes it back, and declares the records whole. docs/rebuilding.md has the argument.
+// merges it, writes it back, and declares the records whole. docs/recovery.md has the argument.
 #pragma once
 #include <set>
 #include <string>
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -1,7 +1,7 @@
 // Watches over the records in the key-value store, and rebuilds them after a loss. One runs in every controller. It
 // follows the generation marker, keeps a replica of the records of jobs, and opens or closes the guarded store for the
 // rest of the process. While the records are lost, the controller that leads gathers all replicas, merges them and
-// writes the result back. docs/rebuilding.md has the argument. It knows nothing of scheduling.
+// writes the result back. docs/recovery.md has the argument. It knows nothing of scheduling.
 //
 // This class holds the state machine; each other task of the package has a class of its own. Nothing that its loop
 // waits for may have a lower request priority than bookkeeping: while it waits, a term that was just won does not
--- a/src/scheduler/defragmentation.cpp
+++ b/src/scheduler/defragmentation.cpp
@@ -28,7 +28,7 @@
 
 void Defragmentation::note_waiting_jobs(TimePoint now) {
     for (const auto& [uid, job] : state_.jobs.all())
-        if (job->runnable() && job->waiting() && !job->doubtful()) last_waiting_ = now;
+        if (job->runnable() && job->waiting() && !job->crash_looping()) last_waiting_ = now;
 }
 
 bool Defragmentation::movable(const Machine& machine, TimePoint now) const {
--- a/src/scheduler/dependency_graph.cpp
+++ b/src/scheduler/dependency_graph.cpp
@@ -5,7 +5,7 @@
 namespace flintdale::scheduler {
 
 namespace {
-constexpr std::size_t max_past = 10'000;
+constexpr std::size_t max_closed = 10'000;
 }  // namespace
 
 DependencyGraph::Node* DependencyGraph::find(const std::string& uid) {
@@ -18,82 +18,82 @@
     return it == nodes_.end() ? nullptr : &it->second;
 }
 
-DependencyGraph::News DependencyGraph::opened(const std::string& uid, model::Priority priority,
-                                              const std::vector<std::string>& needs) {
-    News news;
+DependencyGraph::Changes DependencyGraph::opened(const std::string& uid, model::Priority priority,
+                                                 const std::vector<std::string>& needs) {
+    Changes changes;
     unknown_.erase(uid);
     {
         auto& node = nodes_[uid];
-        // News of its end may have come before that of its beginning.
-        if (node.fate != Fate::unknown) return news;
-        node.fate = Fate::open;
+        // Its end may be known before its beginning.
+        if (node.status != Status::unknown) return changes;
+        node.status = Status::open;
         node.own = priority;
         // Jobs that need it may have come to be known before it.
         node.priority = std::max(node.priority, priority);
-        if (node.priority != priority) news.priority_changed.push_back(uid);
+        if (node.priority != priority) changes.priority_changed.push_back(uid);
         node.needs = needs;
     }
-    bool doomed = false;
-    std::uint32_t lacking = 0;
+    bool dependency_failed = false;
+    std::uint32_t open_dependencies = 0;
     std::int64_t at = 0;
     for (const auto& name : needs) {
         auto& need = nodes_[name];
-        if (need.fate == Fate::done) {
+        if (need.status == Status::done) {
             at = std::max(at, need.at);
             continue;
         }
-        doomed = doomed || need.fate == Fate::cancelled || need.doomed;
-        if (need.fate == Fate::cancelled) continue;
-        if (need.fate == Fate::unknown) unknown_.insert(name);
+        dependency_failed = dependency_failed || need.status == Status::cancelled || need.dependency_failed;
+        if (need.status == Status::cancelled) continue;
+        if (need.status == Status::unknown) unknown_.insert(name);
         need.needed_by.insert(uid);
-        ++lacking;
+        ++open_dependencies;
     }
     auto& node = nodes_[uid];
-    node.lacking = lacking;
+    node.open_dependencies = open_dependencies;
     node.at = at;
-    raise(needs, node.priority, news);
-    if (doomed) doom({uid}, news);
-    return news;
+    raise_priorities(needs, node.priority, changes);
+    if (dependency_failed) fail_dependents({uid}, changes);
+    return changes;
 }
 
-DependencyGraph::News DependencyGraph::over(const std::string& uid, bool done, std::int64_t at) {
-    News news;
+DependencyGraph::Changes DependencyGraph::closed(const std::string& uid, bool done, std::int64_t at) {
+    Changes changes;
     unknown_.erase(uid);
     auto* node = find(uid);
     if (!node) {
         node = &nodes_[uid];
-    } else if (node->fate == Fate::done || node->fate == Fate::cancelled) {
-        return news;
+    } else if (node->status == Status::done || node->status == Status::cancelled) {
+        return changes;
     }
     const auto needs = std::move(node->needs);
     const auto needed_by = std::move(node->needed_by);
     node->needs.clear();
     node->needed_by.clear();
-    node->fate = done ? Fate::done : Fate::cancelled;
+    node->status = done ? Status::done : Status::cancelled;
     node->at = at;
-    remember(uid);
+    remember_closed(uid);
     for (const auto& name : needs)
         if (auto* need = find(name)) need->needed_by.erase(uid);
-    // What was cancelled lends its rank to nobody any more.
-    lower(needs, news);
+    // A job that is over passes its priority on to no other any more.
+    lower_priorities(needs, changes);
     if (!done) {
-        doom(needed_by, news);
-        return news;
+        fail_dependents(needed_by, changes);
+        return changes;
     }
     for (const auto& name : needed_by) {
         auto* next = find(name);
         next->at = std::max(next->at, at);
-        if (--next->lacking == 0 && !next->doomed) news.ready.push_back(name);
+        if (--next->open_dependencies == 0 && !next->dependency_failed) changes.ready.push_back(name);
     }
-    return news;
+    return changes;
 }
 
-void DependencyGraph::over_somehow(const std::string& uid) {
+void DependencyGraph::closed_unread(const std::string& uid) {
     auto* node = find(uid);
-    if (!node || node->fate == Fate::done || node->fate == Fate::cancelled) return;
+    if (!node || node->status == Status::done || node->status == Status::cancelled) return;
     const auto needs = std::move(node->needs);
     node->needs.clear();
-    node->fate = Fate::unknown;
+    node->status = Status::unknown;
     for (const auto& name : needs)
         if (auto* need = find(name)) need->needed_by.erase(uid);
     if (node->needed_by.empty())
@@ -102,17 +102,17 @@
         unknown_.insert(uid);
 }
 
-DependencyGraph::Fate DependencyGraph::fate(const std::string& uid) const {
+DependencyGraph::Status DependencyGraph::status(const std::string& uid) const {
     const auto* node = find(uid);
-    return node ? node->fate : Fate::unknown;
+    return node ? node->status : Status::unknown;
 }
 
 bool DependencyGraph::waits(const std::string& uid) const {
     const auto* node = find(uid);
-    return node && (node->lacking > 0 || node->doomed);
+    return node && (node->open_dependencies > 0 || node->dependency_failed);
 }
 
-bool DependencyGraph::needed(const std::string& uid) const {
+bool DependencyGraph::has_dependents(const std::string& uid) const {
     const auto* node = find(uid);
     return node && !node->needed_by.empty();
 }
@@ -127,53 +127,55 @@
     return node ? node->at : 0;
 }
 
-void DependencyGraph::raise(const std::vector<std::string>& from, model::Priority priority, News& news) {
+void DependencyGraph::raise_priorities(const std::vector<std::string>& from, model::Priority priority,
+                                       Changes& changes) {
     auto next = from;
     while (!next.empty()) {
         const auto uid = std::move(next.back());
         next.pop_back();
         auto* node = find(uid);
-        if (!node || node->fate == Fate::done || node->fate == Fate::cancelled || node->priority >= priority) continue;
+        if (!node || node->status == Status::done || node->status == Status::cancelled || node->priority >= priority)
+            continue;
         node->priority = priority;
-        if (node->fate == Fate::open) news.priority_changed.push_back(uid);
+        if (node->status == Status::open) changes.priority_changed.push_back(uid);
         next.insert(next.end(), node->needs.begin(), node->needs.end());
     }
 }
 
-void DependencyGraph::lower(std::vector<std::string> from, News& news) {
+void DependencyGraph::lower_priorities(std::vector<std::string> from, Changes& changes) {
     while (!from.empty()) {
         const auto uid = std::move(from.back());
         from.pop_back();
         auto* node = find(uid);
-        if (!node || node->fate == Fate::done || node->fate == Fate::cancelled) continue;
+        if (!node || node->status == Status::done || node->status == Status::cancelled) continue;
         auto priority = node->own;
         for (const auto& name : node->needed_by)
-            if (const auto* by = find(name); by && !by->doomed) priority = std::max(priority, by->priority);
+            if (const auto* by = find(name); by && !by->dependency_failed) priority = std::max(priority, by->priority);
         if (priority == node->priority) continue;
         node->priority = priority;
-        if (node->fate == Fate::open) news.priority_changed.push_back(uid);
+        if (node->status == Status::open) changes.priority_changed.push_back(uid);
         from.insert(from.end(), node->needs.begin(), node->needs.end());
     }
 }
 
-void DependencyGraph::doom(const std::set<std::string>& first, News& news) {
+void DependencyGraph::fail_dependents(const std::set<std::string>& first, Changes& changes) {
     std::deque<std::string> next(first.begin(), first.end());
     for (; !next.empty(); next.pop_front()) {
         auto* node = find(next.front());
-        if (!node || node->fate != Fate::open || node->doomed) continue;
-        node->doomed = true;
-        news.doomed.push_back(next.front());
+        if (!node || node->status != Status::open || node->dependency_failed) continue;
+        node->dependency_failed = true;
+        changes.dependency_failed.push_back(next.front());
         next.insert(next.end(), node->needed_by.begin(), node->needed_by.end());
-        // Nor does what will be cancelled.
-        lower(node->needs, news);
+        // Nor does a job that will be cancelled.
+        lower_priorities(node->needs, changes);
     }
 }
 
-void DependencyGraph::remember(const std::string& uid) {
-    past_.push_back(uid);
-    while (past_.size() > max_past) {
-        nodes_.erase(past_.front());
-        past_.pop_front();
+void DependencyGraph::remember_closed(const std::string& uid) {
+    closed_.push_back(uid);
+    while (closed_.size() > max_closed) {
+        nodes_.erase(closed_.front());
+        closed_.pop_front();
     }
 }
 
--- a/src/scheduler/failure_tracker.cpp
+++ b/src/scheduler/failure_tracker.cpp
@@ -16,7 +16,7 @@
     job.failed_on.insert(machine.name);
     ++job.errors;
     machine.failed_jobs.insert(job.spec.uid);
-    if (job.doubtful()) {
+    if (job.crash_looping()) {
         clear_machines(job);
         // Tasks that ran at the same time fail together, and count once.
         if (now >= job.eligible_at) back_off(job, now);
@@ -38,7 +38,7 @@
 }
 
 void FailureTracker::back_off(Job& job, TimePoint now) {
-    const auto pause = std::min(first_pause * (1 << std::min(job.failures++, max_doublings)), longest_pause);
+    const auto pause = std::min(first_pause * (1 << std::min(job.back_offs++, max_doublings)), longest_pause);
     job.eligible_at = now + pause;
     spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
                   job.errors, pause.count());
--- a/src/scheduler/handover_hints.hpp
+++ b/src/scheduler/handover_hints.hpp
@@ -1,7 +1,7 @@
-// What a leader writes down for the next one about the machines: which images they hold, and which are at fault. No
-// report tells this, and a leader that does not know it places everything as if no machine held any image: tasks then
-// fetch for minutes what lies on the machine beside. Notes are advice: they may be old or missing, and no rule rests on
-// them. Pure: the pages are carried by app/.
+// What a leader records about the machines for the next one: which images they hold, and which are quarantined. No
+// heartbeat tells this, and a leader that does not know it places everything as if no machine held any image: tasks
+// then fetch for minutes what another machine holds already. Hints are advice: they may be old or missing, and no rule
+// depends on them. No I/O: the records are carried by app/.
 #pragma once
 #include <map>
 #include <span>
@@ -18,18 +18,18 @@
   public:
     explicit HandoverHints(const state::RecordFormat& record_format) : record_format_(record_format) {}
 
-    // The pages that differ from what was last written, each within the limit on values, and pages that are no longer
-    // needed as deletions. Machines are in the order of their names.
+    // The records that differ from what was last written, each within the limit on values, and deletions of those that
+    // are no longer needed. The hints must be in the order of the machines' names.
     std::vector<state::Change> pages(std::span<const wire::MachineHint> notes);
-    // That page is on record now.
+    // That change is on record now.
     void written(const state::Change& page);
-    // What a former leader wrote: its notes, and which pages there are. What cannot be read is left out.
+    // The hints in a former leader's records; also notes which records there are. Unreadable ones are left out.
     std::vector<wire::MachineHint> read(const std::vector<state::KeyValue>& items);
 
   private:
     const state::RecordFormat& record_format_;
     std::size_t per_page_ = 512;                    // machines; halved until a page fits
-    std::map<std::string, std::string> on_record_;  // text of each page; empty where it is not known
+    std::map<std::string, std::string> on_record_;  // text of each record; empty where it is not known
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/heartbeat_reconciler.cpp
+++ b/src/scheduler/heartbeat_reconciler.cpp
@@ -91,7 +91,7 @@
         task.shown_in = heartbeats_;
         if (!ended)
             confirmed(*job, machine, report, commands, now);
-        else if (!task.parked)
+        else if (!task.at_barrier)
             exited(*job, machine, report, now);
         return orphaned;
     }
@@ -113,7 +113,7 @@
                                     TimePoint now) {
     const auto i = report.id.index;
     auto& task = job.tasks[i];
-    task.seen = task.sent = true;
+    task.reported = task.run_sent = true;
     if (report.status != TaskStatus::fetching) {
         state_.inventory.has_image(machine, {job.spec.uid, i}, job.spec);
         const bool runs = report.status == TaskStatus::running || report.status == TaskStatus::checkpointing;
@@ -179,7 +179,7 @@
 
 void HeartbeatReconciler::missing(Job& job, std::uint32_t task, Machine& machine, Commands& commands, TimePoint now) {
     const auto& t = job.tasks[task];
-    if (t.seen) {
+    if (t.reported) {
         tasks_.lose(job, task, now);
     } else if (job.cancelled || t.draining || job.finished || gang_fails(job) ||
                state_.quota.over_limit(job.spec.team)) {
@@ -211,12 +211,12 @@
         return false;
     }
     if (task.state == State::placed) tasks_.leave(job, i, State::waiting, now);
-    std::erase(job.again, i);
-    for (; job.fresh <= i; ++job.fresh)
-        if (job.fresh != i) job.again.push_back(job.fresh);
+    std::erase(job.requeued, i);
+    for (; job.first_unplaced <= i; ++job.first_unplaced)
+        if (job.first_unplaced != i) job.requeued.push_back(job.first_unplaced);
     spdlog::info("event=task_adopted task={}/{} attempt={} machine={}", job.spec.uid, i, report.attempt, machine.name);
     tasks_.place(job, i, machine, report.attempt, now);
-    job.tasks[i].sent = true;
+    job.tasks[i].run_sent = true;
     job.gang_attempt = std::max(job.gang_attempt, report.attempt);
     tasks_.record_change(job, i, RecordUrgency::immediate, now);
     return true;
--- a/src/scheduler/job.cpp
+++ b/src/scheduler/job.cpp
@@ -15,13 +15,14 @@
     return state && state->is_string() && state->get_string() == wire::job_state_name(model::JobState::cancelled);
 }
 
-std::string work_key(const std::string& uid, std::uint32_t chunk, std::uint32_t page) {
-    if (page != chunk_tasks) return work_prefix + uid + "/p" + std::to_string(page) + "." + std::to_string(chunk);
+std::string work_key(const std::string& uid, std::uint32_t chunk, std::uint32_t tasks_per_record) {
+    if (tasks_per_record != chunk_tasks)
+        return work_prefix + uid + "/p" + std::to_string(tasks_per_record) + "." + std::to_string(chunk);
     return work_prefix + uid + (chunk ? "/" + std::to_string(chunk) : std::string());
 }
 
-std::string piece_key(const std::string& uid, std::size_t piece) {
-    return work_prefix + uid + "/s" + std::to_string(piece);
+std::string fragment_key(const std::string& uid, std::size_t fragment) {
+    return work_prefix + uid + "/s" + std::to_string(fragment);
 }
 
 namespace {
@@ -46,28 +47,30 @@
     auto tail = rest.substr(slash + 1);
     bool good = false;
     if (tail.starts_with('s')) {
-        good = parse_number(tail.substr(1), out.piece) && out.piece > 0;
+        good = parse_number(tail.substr(1), out.fragment) && out.fragment > 0;
     } else if (tail.starts_with('p')) {
         const auto point = tail.find('.');
-        good = point != std::string_view::npos && parse_number(tail.substr(1, point - 1), out.page) &&
-               parse_number(tail.substr(point + 1), out.chunk) && out.page > 0 && out.page < chunk_tasks;
+        good = point != std::string_view::npos && parse_number(tail.substr(1, point - 1), out.tasks_per_record) &&
+               parse_number(tail.substr(point + 1), out.chunk) && out.tasks_per_record > 0 &&
+               out.tasks_per_record < chunk_tasks;
     } else {
         good = parse_number(tail, out.chunk);
     }
     return good ? std::optional(out) : std::nullopt;
 }
 
-void Job::use_pages(std::uint32_t tasks_each) {
-    const auto old_page = page;
+void Job::split_records(std::uint32_t tasks_each) {
+    const auto old_tasks_per_record = tasks_per_record;
     const auto old = std::move(chunks);
     for (std::uint32_t c = 0; c < old.size(); ++c)
-        if (old[c].mod_revision) overruled.push_back({work_key(spec.uid, c, old_page), old[c].mod_revision});
-    page = tasks_each;
-    chunks.assign((spec.tasks + page - 1) / page, Chunk{});
+        if (old[c].mod_revision)
+            superseded.push_back({work_key(spec.uid, c, old_tasks_per_record), old[c].mod_revision});
+    tasks_per_record = tasks_each;
+    chunks.assign((spec.tasks + tasks_per_record - 1) / tasks_per_record, Chunk{});
     for (std::uint32_t i = 0; i < spec.tasks; ++i) {
         // What the larger record holds need not be written again.
         auto& chunk = chunks[chunk_of(i)];
-        chunk.durable = old[i / old_page].durable;
+        chunk.durable = old[i / old_tasks_per_record].durable;
         chunk.changed = std::max({chunk.changed, chunk.durable, tasks[i].generation});
     }
 }
@@ -102,44 +105,44 @@
         return out;
     }
     const auto text = boost::json::serialize(whole.at("spec"));
-    std::vector<state::Change> pieces;
+    std::vector<state::Change> fragments;
     for (std::size_t at = 0; at < text.size();) {
         auto length = std::min(record_format.room(), text.size() - at);
-        boost::json::object piece;
+        boost::json::object fragment;
         for (;;) {
             // Not in the middle of a character.
             while (at + length < text.size() && (static_cast<unsigned char>(text[at + length]) & 0xC0) == 0x80)
                 --length;
-            piece["text"] = text.substr(at, length);
-            const auto size = state::RecordFormat::size_of(piece);
+            fragment["text"] = text.substr(at, length);
+            const auto size = state::RecordFormat::size_of(fragment);
             if (size <= record_format.room()) break;
             length -= std::min(length - 1, (size - record_format.room() + 1) / 2 + 4);
         }
         at += length;
-        pieces.push_back({piece_key(spec.uid, pieces.size() + 1), std::move(piece), 0});
+        fragments.push_back({fragment_key(spec.uid, fragments.size() + 1), std::move(fragment), 0});
     }
-    if (pieces.size() + 1 > record_format.limits().txn_ops) return {};
-    boost::json::object first{{"cut", pieces.size()}, {"tasks", boost::json::array()}};
+    if (fragments.size() + 1 > record_format.limits().txn_ops) return {};
+    boost::json::object first{{"cut", fragments.size()}, {"tasks", boost::json::array()}};
     wire::size_to_record({spec.kind, spec.tasks}, first);
     out.push_back({work_key(spec.uid, 0), std::move(first), 0});
-    for (auto& piece : pieces) out.push_back(std::move(piece));
+    for (auto& fragment : fragments) out.push_back(std::move(fragment));
     return out;
 }
 
 std::optional<JobSpec> spec_from_records(const boost::json::object& first,
-                                         const std::map<std::uint32_t, std::string>& pieces) {
+                                         const std::map<std::uint32_t, std::string>& fragments) {
     const auto* cut = first.if_contains("cut");
     if (!cut) return wire::spec_from_record(first.at("spec").as_object());
-    if (pieces.size() < cut->to_number<std::size_t>()) return std::nullopt;
+    if (fragments.size() < cut->to_number<std::size_t>()) return std::nullopt;
     std::string text;
-    for (const auto& [n, piece] : pieces) text += piece;
+    for (const auto& [n, fragment] : fragments) text += fragment;
     return wire::spec_from_record(wire::parse_object(text));
 }
 
 boost::json::object work_record(const Job& job, std::uint32_t chunk) {
     std::vector<model::TaskRange> ranges;
-    const std::uint32_t from = chunk * job.page;
-    const std::uint32_t to = std::min<std::uint32_t>(from + job.page, job.spec.tasks);
+    const std::uint32_t from = chunk * job.tasks_per_record;
+    const std::uint32_t to = std::min<std::uint32_t>(from + job.tasks_per_record, job.spec.tasks);
     for (std::uint32_t i = from; i < to; ++i) {
         const auto& t = job.tasks[i];
         model::TaskRange r{i, i, t.attempt, t.state == Task::State::placed ? t.machine->name : "",
@@ -154,7 +157,7 @@
         ranges.push_back(std::move(r));
     }
     boost::json::object o;
-    if (chunk == 0 && job.page == chunk_tasks) o["spec"] = wire::spec_to_record(job.spec);
+    if (chunk == 0 && job.tasks_per_record == chunk_tasks) o["spec"] = wire::spec_to_record(job.spec);
     o["tasks"] = wire::ranges_to_record(ranges);
     return o;
 }
--- a/src/scheduler/job_demand.cpp
+++ b/src/scheduler/job_demand.cpp
@@ -38,7 +38,7 @@
     // The worker may still hold the earlier exit of a gang's task, so the replacement must not go there.
     if (job.is(JobKind::gang)) out.excluded = out.own;
     // Where some tasks of a job succeed and some fail on many machines, the machines are not at fault.
-    if (job.failed_on.size() <= 2 || job.doubtful())
+    if (job.failed_on.size() <= 2 || job.crash_looping())
         for (const auto& name : job.failed_on)
             if (const auto* m = state_.inventory.find(name)) out.excluded.push_back(m->row.slot);
     return out;
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -16,7 +16,7 @@
 Job& JobLifecycle::create(JobSpec spec, TimePoint now, bool known_before) {
     auto job = std::make_unique<Job>();
     job->tasks.resize(spec.tasks);
-    job->chunks.resize((spec.tasks + job->page - 1) / job->page);
+    job->chunks.resize((spec.tasks + job->tasks_per_record - 1) / job->tasks_per_record);
     job->priority = spec.priority;
     job->arrived = now;
     const auto window = model::to_clock(state_.operator_settings.batching_window);
@@ -42,7 +42,7 @@
     state_.quota.over(job.spec);
     for (std::uint32_t i = 0; i < job.spec.tasks && job.placed; ++i)
         // A task that no run command was sent for runs nowhere; the others must be seen to be gone.
-        if (auto& t = job.tasks[i]; t.state == Task::State::placed && !t.sent)
+        if (auto& t = job.tasks[i]; t.state == Task::State::placed && !t.run_sent)
             tasks_.leave(job, i, Task::State::waiting, at);
     state_.record_queue.add(job.spec.uid);
 }
@@ -54,33 +54,33 @@
 
 void JobLifecycle::set_dependencies(Job& job, const std::vector<std::string>& dependencies, TimePoint now) {
     const auto& uid = job.spec.uid;
-    const auto news = state_.dependencies.opened(uid, job.spec.priority, dependencies);
+    const auto changes = state_.dependencies.opened(uid, job.spec.priority, dependencies);
     job.priority = state_.dependencies.priority(uid);
-    job.waits = state_.dependencies.waits(uid);
-    if (!job.waits && !dependencies.empty()) apply({{uid}, {}, {}}, now);
-    apply(news, now);
+    job.waits_for_dependencies = state_.dependencies.waits(uid);
+    if (!job.waits_for_dependencies && !dependencies.empty()) apply({{uid}, {}, {}}, now);
+    apply(changes, now);
 }
 
-bool JobLifecycle::apply(const DependencyGraph::News& news, TimePoint now) {
-    for (const auto& uid : news.ready)
+bool JobLifecycle::apply(const DependencyGraph::Changes& changes, TimePoint now) {
+    for (const auto& uid : changes.ready)
         if (auto* job = state_.jobs.find(uid)) make_ready(*job, now);
     // Before all other records: its users may be told by then.
-    for (const auto& uid : news.doomed)
-        if (auto* job = state_.jobs.find(uid); job && !job->doomed) {
+    for (const auto& uid : changes.dependency_failed)
+        if (auto* job = state_.jobs.find(uid); job && !job->dependency_failed) {
             spdlog::info("event=job_dependency_failed job={}", uid);
-            job->doomed = true;
+            job->dependency_failed = true;
             state_.record_queue.add_first(uid);
         }
-    for (const auto& uid : news.priority_changed)
+    for (const auto& uid : changes.priority_changed)
         if (auto* job = state_.jobs.find(uid)) job->priority = state_.dependencies.priority(uid);
-    return !news.ready.empty() || !news.doomed.empty();
+    return !changes.ready.empty() || !changes.dependency_failed.empty();
 }
 
 // All its times count from now on. The windows of the jobs that it waited for closed long ago: it has been known for at
 // least as long as any window gathers, and must not wait for another.
 void JobLifecycle::make_ready(Job& job, TimePoint now) {
     const auto& uid = job.spec.uid;
-    job.waits = false;
+    job.waits_for_dependencies = false;
     job.arrived = job.eligible_at = now;
     if (const auto at = state_.dependencies.ready_at(uid)) job.window = window_at(at);
     spdlog::debug("event=job_dependencies_done job={} class={}", uid, job.spec.job_class);
--- a/src/scheduler/job_lifecycle.hpp
+++ b/src/scheduler/job_lifecycle.hpp
@@ -18,7 +18,7 @@
     // Puts a new job into the dependency graph with the jobs that it needs.
     void set_dependencies(Job& job, const std::vector<std::string>& dependencies, TimePoint now);
     // Applies what the dependency graph concludes. True if a job became ready or must be cancelled.
-    bool apply(const DependencyGraph::News& news, TimePoint now);
+    bool apply(const DependencyGraph::Changes& changes, TimePoint now);
 
   private:
     // The number of the batching window that holds that time of day, in milliseconds.
--- a/src/scheduler/lease_rule.hpp
+++ b/src/scheduler/lease_rule.hpp
@@ -1,13 +1,15 @@
+// The rules that bound how long cancelled work may run on, shared by leaders and other controllers.
 #pragma once
 #include "config/settings.hpp"
 #include "model/clock.hpp"
 
 namespace flintdale::scheduler {
 
-// Whether a leader may keep workers' leases alive. Work of a job cancelled elsewhere must be gone in time, and
+// Whether a leader may renew workers' leases. Work of a job cancelled elsewhere must be gone in time, and
 // a task dies at the latest a lease after the last answer; so what is known of cancellations must be younger
-// than what cancel_s leaves beyond the lease. The margin covers drifting clocks, and the time from the report's
-// arrival to this look at the clock: a lease runs from when the report was sent, however late its answer leaves.
+// than what the cancel deadline leaves beyond the lease. The margin covers drifting clocks, and the time from the
+// heartbeat's arrival to this reading of the clock: a lease runs from when the heartbeat was sent, however late its
+// answer leaves.
 inline bool may_answer(const config::Settings& s, model::TimePoint now, model::TimePoint cancellations_known_at,
                        model::Seconds margin = model::Seconds(3)) {
     return now - cancellations_known_at < model::to_clock(s.cancel_deadline - s.worker_lease - margin);
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -29,7 +29,8 @@
     auto waiting = queue_.ordered(now, true);
     if (state_.awaiting_reconciliation) waiting = without_uncertain(std::move(waiting));
     on_demand_gangs_wait_ = std::any_of(waiting.begin(), waiting.end(), [](const Job* job) {
-        return job->is(JobKind::gang) && !job->spec.spot && job->passed_over && job->placed == 0 && !job->doubtful();
+        return job->is(JobKind::gang) && !job->spec.spot && job->passed_over && job->placed == 0 &&
+               !job->crash_looping();
     });
     for (auto* job : waiting) place_job(*job, plan, now);
     // What is spare no longer can be used in the next pass, which comes in a moment.
@@ -71,19 +72,19 @@
         place_each(job, plan, now);
     if (job.passed_over) preemption_.preempt(job, plan, now);
     job.passed_over = job.waiting() > 0;
-    if (!job.passed_over || job.doubtful()) return;
+    if (!job.passed_over || job.crash_looping()) return;
     state_.last_shortage = now;
     any_waiting_ = true;
 }
 
 std::uint32_t PlacementPass::take_waiting(Job& job) {
-    while (!job.again.empty()) {
-        const auto i = job.again.front();
-        job.again.pop_front();
+    while (!job.requeued.empty()) {
+        const auto i = job.requeued.front();
+        job.requeued.pop_front();
         if (job.tasks[i].state == State::waiting) return i;
     }
-    while (job.tasks[job.fresh].state != State::waiting) ++job.fresh;
-    return job.fresh++;
+    while (job.tasks[job.first_unplaced].state != State::waiting) ++job.first_unplaced;
+    return job.first_unplaced++;
 }
 
 void PlacementPass::place_gang(Job& job, Planner& plan, TimePoint now) {
@@ -102,13 +103,13 @@
     if (places.empty()) {
         // Room for a whole gang seldom comes about by itself while smaller tasks take all that frees. Each reservation
         // looks at every machine, so in a long queue of gangs it is made for those whose turn may come.
-        if (!job.doubtful() && reservations_++ < max_reservations) plan.hold_for(ask, missing);
+        if (!job.crash_looping() && reservations_++ < max_reservations) plan.reserve_for_gang(ask, missing);
         return;
     }
     ++job.gang_attempt;
     job.gang_started = job.gang_failing = false;
-    job.again.clear();
-    job.fresh = job.spec.tasks;
+    job.requeued.clear();
+    job.first_unplaced = job.spec.tasks;
     std::size_t next = 0;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
         if (job.tasks[i].state != State::waiting) continue;
@@ -139,7 +140,7 @@
     const auto& ask = demand_.ask_of(job);
     auto hosts = demand_.hosts_of(job);
     auto most = demand_.within_quota(job, std::min(job.waiting(), max_planned_tasks));
-    if (job.doubtful()) {
+    if (job.crash_looping()) {
         // A try on another machine tells most, and any machine will do once all have failed it.
         most = std::min(most, job.placed ? 0u : 1u);
         if (most > 0 && plan.peek(ask, hosts) == Planner::none) hosts.excluded.clear();
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -106,7 +106,7 @@
 // What is stopped can never stop the same job's tasks in turn, so preemption cannot go on in circles. Without it one
 // team's idle tasks, on for minutes, would keep gangs from machines whose accelerators are unused.
 void Preemption::preempt(Job& job, const Planner& plan, TimePoint now) {
-    if (now < job.preempt_again || job.doubtful()) return;
+    if (now < job.preempt_again || job.crash_looping()) return;
     if (!any_lower_arrays(job.priority) && !demand_.guaranteed(job)) return;
     const bool gang = job.is(JobKind::gang);
     if (gang && (job.gang_failing || job.gang_started)) return;
--- a/src/scheduler/record_loader.cpp
+++ b/src/scheduler/record_loader.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t max_fragmented = 1000;  // submissions of which fragments are awaited
 constexpr std::chrono::milliseconds longest_wait = std::chrono::hours(24);  // that another clock is believed
 
-bool is_over(DependencyGraph::Fate fate) {
-    return fate == DependencyGraph::Fate::done || fate == DependencyGraph::Fate::cancelled;
+bool is_over(DependencyGraph::Status status) {
+    return status == DependencyGraph::Status::done || status == DependencyGraph::Status::cancelled;
 }
 }  // namespace
 
@@ -50,7 +50,7 @@
     restore_tasks(*job, read_tasks(*job, records), now);
     if (job->done == job->spec.tasks) state_.record_queue.add(uid);
     // The leader that placed some of it had read that all the jobs it needs are done.
-    const bool was_ready = job->fresh > 0;
+    const bool was_ready = job->first_unplaced > 0;
     lifecycle_.set_dependencies(*job, was_ready ? std::vector<std::string>{} : job->spec.dependencies, now);
 }
 
@@ -58,7 +58,7 @@
 // may be of a job that was accepted while the records were being read.
 void RecordLoader::load_without_first(const Records& records, TimePoint now) {
     for (const auto& [key, item] : records)
-        if (key.piece)
+        if (key.fragment)
             assemble(key, *item, now, true);
         else
             state_.garbage.add(item->key, item->mod_revision);
@@ -66,11 +66,13 @@
 
 std::vector<model::TaskRange> RecordLoader::read_tasks(Job& job, Records& records) {
     // Of two records with the same task the one with fewer tasks counts; it was written later.
-    std::sort(records.begin(), records.end(), [](const auto& a, const auto& b) { return a.first.page > b.first.page; });
+    std::sort(records.begin(), records.end(),
+              [](const auto& a, const auto& b) { return a.first.tasks_per_record > b.first.tasks_per_record; });
     std::vector<model::TaskRange> last(job.spec.tasks);
     for (const auto& [key, item] : records) {
-        if (key.piece || key.page > job.page) continue;  // the first record of a fragmented submission has no tasks
-        if (key.page < job.page) job.use_pages(key.page);
+        if (key.fragment || key.tasks_per_record > job.tasks_per_record)
+            continue;  // the first record of a fragmented submission has no tasks
+        if (key.tasks_per_record < job.tasks_per_record) job.split_records(key.tasks_per_record);
         if (key.chunk >= job.chunks.size()) continue;
         job.chunks[key.chunk].mod_revision = item->mod_revision;
         for (const auto& range : wire::ranges_from_record(item->value.as_object().at("tasks").as_array()))
@@ -80,16 +82,16 @@
 }
 
 void RecordLoader::restore_tasks(Job& job, const std::vector<model::TaskRange>& last, TimePoint now) {
-    job.fresh = 0;
+    job.first_unplaced = 0;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
         restore_task(job, i, last[i], now);
         const auto& task = job.tasks[i];
         // Attempts never fall, so a task with an attempt was placed once.
-        if (task.state != Task::State::waiting || task.attempt) job.fresh = i + 1;
+        if (task.state != Task::State::waiting || task.attempt) job.first_unplaced = i + 1;
         job.gang_attempt = std::max(job.gang_attempt, task.attempt);
     }
-    for (std::uint32_t i = 0; i < job.fresh; ++i)
-        if (job.tasks[i].state == Task::State::waiting) job.again.push_back(i);
+    for (std::uint32_t i = 0; i < job.first_unplaced; ++i)
+        if (job.tasks[i].state == Task::State::waiting) job.requeued.push_back(i);
 }
 
 void RecordLoader::restore_task(Job& job, std::uint32_t task, const model::TaskRange& last, TimePoint now) {
@@ -102,7 +104,7 @@
         auto& machine = state_.inventory.add(last.machine, "", "", false, now);
         tasks_.place(job, task, machine, last.attempt, now);
         state_.inherited_tasks = true;
-        t.sent = true;  // the leader that wrote the record may have sent the run command
+        t.run_sent = true;  // the leader that wrote the record may have sent the run command
     }
 }
 
@@ -125,24 +127,24 @@
 }
 
 RecordLoader::FragmentedSubmission* RecordLoader::add_fragment(const WorkKey& key, const state::KeyValue& item) {
-    if (is_over(state_.dependencies.fate(key.uid))) return nullptr;
+    if (is_over(state_.dependencies.status(key.uid))) return nullptr;
     if (fragmented_.size() >= max_fragmented) fragmented_.clear();
     auto& known = fragmented_[key.uid];
-    if (!key.piece) {
+    if (!key.fragment) {
         known.first = item;
         return &known;
     }
     const auto& text = item.value.as_object().at("text").as_string();
-    if (known.fragments.emplace(key.piece, std::string(text)).second)
+    if (known.fragments.emplace(key.fragment, std::string(text)).second)
         known.records.push_back({item.key, item.mod_revision});
     return &known;
 }
 
 Job* RecordLoader::assemble(const WorkKey& key, const state::KeyValue& item, TimePoint now, bool recovering) {
     const auto& record = item.value.as_object();
-    if (state_.jobs.contains(key.uid) || (!key.first() && !key.piece)) return nullptr;
+    if (state_.jobs.contains(key.uid) || (!key.first() && !key.fragment)) return nullptr;
     FragmentedSubmission submission;
-    if (key.piece || record.if_contains("cut")) {
+    if (key.fragment || record.if_contains("cut")) {
         const auto* known = add_fragment(key, item);
         if (!known || !known->first.mod_revision) return nullptr;
         submission = *known;
@@ -157,9 +159,9 @@
     if (!spec) return nullptr;
     auto& job = lifecycle_.create(std::move(*spec), now, recovering);
     job.chunks[0].mod_revision = submission.first.mod_revision;
-    job.overruled = std::move(submission.records);
+    job.superseded = std::move(submission.records);
     // The first record holds no submission that could be written again beside its tasks.
-    if (first.if_contains("cut")) job.use_pages(job.page / 2);
+    if (first.if_contains("cut")) job.split_records(job.tasks_per_record / 2);
     fragmented_.erase(key.uid);
     state_.jobs.mark_count_changed(key.uid);
     return &job;
@@ -186,7 +188,7 @@
     const auto uid = item.key.substr(item.key.rfind('/') + 1);
     const auto* at = record.if_contains("at");
     const auto ended_at = at ? at->to_number<std::int64_t>() : 0;
-    bool changed = lifecycle_.apply(state_.dependencies.over(uid, outcome == model::JobState::done, ended_at), now);
+    bool changed = lifecycle_.apply(state_.dependencies.closed(uid, outcome == model::JobState::done, ended_at), now);
     auto* job = state_.jobs.find(uid);
     if (!job || job->finished) return changed;
     if (outcome == model::JobState::cancelled) {
@@ -213,7 +215,7 @@
         }
         const auto count = submission.first.value.as_object().at("cut").to_number<std::uint32_t>();
         for (std::uint32_t n = 1; n <= count; ++n)
-            if (!submission.fragments.contains(n)) out.push_back(piece_key(uid, n));
+            if (!submission.fragments.contains(n)) out.push_back(fragment_key(uid, n));
     }
     return out;
 }
--- a/src/scheduler/record_writer.cpp
+++ b/src/scheduler/record_writer.cpp
@@ -37,7 +37,7 @@
     const bool over = job->finished || (job->cancelled && job->placed == 0);
     if (over)
         forget(uid);
-    else if (job->doomed && !job->cancelled)
+    else if (job->dependency_failed && !job->cancelled)
         add_outcome(*job, model::JobState::cancelled, at, draft);
     else if (complete)
         add_outcome(*job, model::JobState::done, at, draft);
@@ -72,7 +72,7 @@
             batch.txn.conditions.push_back({outcome, 0});
             batch.keys.push_back(outcome);
         }
-        const auto key = work_key(uid, index, job.page);
+        const auto key = work_key(uid, index, job.tasks_per_record);
         batch.txn.conditions.push_back({key, chunk.mod_revision});
         batch.txn.changes.push_back({key, std::move(record), 0});
         batch.parts.push_back({uid, index, chunk.changed, Batch::Part::Kind::write, 0});
@@ -86,9 +86,9 @@
     for (std::uint32_t i = 0; i < job.chunks.size(); ++i) {
         if (job.chunks[i].durable >= job.chunks[i].changed) continue;
         auto record = work_record(job, i);
-        if (state_.record_format.newest() && job.page > 1 && !state_.record_format.fits(record)) {
-            job.use_pages(job.page / 2);
-            spdlog::debug("event=records_split job={} tasks={}", job.spec.uid, job.page);
+        if (state_.record_format.newest() && job.tasks_per_record > 1 && !state_.record_format.fits(record)) {
+            job.split_records(job.tasks_per_record / 2);
+            spdlog::debug("event=records_split job={} tasks={}", job.spec.uid, job.tasks_per_record);
             return changed_records(job);
         }
         out.push_back({i, std::move(record)});
@@ -100,12 +100,12 @@
 // stay for a while: whoever reads them looks for an outcome as well.
 void RecordWriter::forget(const std::string& uid) {
     auto& job = *state_.jobs.find(uid);
-    job.use_pages(job.page);
+    job.split_records(job.tasks_per_record);
     // Garbage is removed last in, first out, and the first record must go last: as long as it is there, the others are
     // known to belong to a job.
-    std::stable_partition(job.overruled.begin(), job.overruled.end(),
+    std::stable_partition(job.superseded.begin(), job.superseded.end(),
                           [&](const OldRecord& record) { return record.key == work_key(uid, 0); });
-    for (const auto& record : job.overruled) state_.garbage.add(record.key, record.mod_revision);
+    for (const auto& record : job.superseded) state_.garbage.add(record.key, record.mod_revision);
     state_.jobs.erase(uid);
 }
 
@@ -129,11 +129,11 @@
                 spdlog::info("event=job_done job={} class={} seconds={:.1f}", part.uid, job->spec.job_class,
                              Seconds(now - job->arrived).count());
                 lifecycle_.finish(*job);
-                ready = lifecycle_.apply(state_.dependencies.over(part.uid, true, part.at), now) || ready;
+                ready = lifecycle_.apply(state_.dependencies.closed(part.uid, true, part.at), now) || ready;
                 break;
             case Batch::Part::Kind::abort:
                 lifecycle_.cancel(*job, now);
-                lifecycle_.apply(state_.dependencies.over(part.uid, false, part.at), now);
+                lifecycle_.apply(state_.dependencies.closed(part.uid, false, part.at), now);
                 break;
         }
         if (job->finished || job->cancelled) state_.record_queue.add(part.uid);
@@ -153,8 +153,8 @@
     for (const auto& part : batch.parts) {
         auto* job = state_.jobs.find(part.uid);
         if (!job) continue;
-        if (part.kind == Batch::Part::Kind::write && job->page > 1 && state_.record_format.newest()) {
-            job->use_pages(job->page / 2);
+        if (part.kind == Batch::Part::Kind::write && job->tasks_per_record > 1 && state_.record_format.newest()) {
+            job->split_records(job->tasks_per_record / 2);
             state_.record_queue.add(part.uid);
             continue;
         }
@@ -169,7 +169,7 @@
 
 void RecordWriter::record_reread(const WorkKey& key, const state::KeyValue& item) {
     auto* job = state_.jobs.find(key.uid);
-    if (job && !key.piece && key.page == job->page && key.chunk < job->chunks.size())
+    if (job && !key.fragment && key.tasks_per_record == job->tasks_per_record && key.chunk < job->chunks.size())
         job->chunks[key.chunk].mod_revision = item.mod_revision;
 }
 
--- a/src/scheduler/relocation.cpp
+++ b/src/scheduler/relocation.cpp
@@ -42,7 +42,7 @@
     auto hosts = demand_.hosts_of(*job);
     if (demand_.within_quota(*job, 1) == 0) return Progress::given_up;
     if (!plan.place_at(to, demand_.ask_of(*job), hosts, 1)) return Progress::given_up;
-    std::erase(job->again, move.task);
+    std::erase(job->requeued, move.task);
     tasks_.place(*job, move.task, *state_.inventory.at(move.to), task.attempt + 1, now);
     tasks_.record_change(*job, move.task, RecordUrgency::immediate, now);
     return Progress::placed;
@@ -58,7 +58,7 @@
 
 void Relocation::move_if_faster(const Job& job, std::uint32_t task, placement::Planner& plan, TimePoint now) {
     const auto& t = job.tasks[task];
-    if (t.state != State::placed || !t.seen || t.started || t.draining) return;
+    if (t.state != State::placed || !t.reported || t.started || t.draining) return;
     const auto& here = t.machine->row;
     const auto& ask = demand_.ask_of(job);
     if (here.has(ask.image)) return;
--- a/src/scheduler/run_commands.cpp
+++ b/src/scheduler/run_commands.cpp
@@ -7,7 +7,7 @@
 void RunCommands::add(Job& job, std::uint32_t task, const Machine& machine, std::vector<model::Command>& commands) {
     if (!job.durable(task) || machine.releasing || commands.size() >= max_commands) return;
     // The placement is on record, so a leader after this one knows where the task may run.
-    job.tasks[task].sent = true;
+    job.tasks[task].run_sent = true;
     commands.push_back({model::CommandType::run, {job.spec.uid, task}, job.tasks[task].attempt, Seconds(0)});
 }
 
@@ -20,7 +20,7 @@
         const auto* job = state_.jobs.find(uid);
         if (!job) continue;
         const auto& task = job->tasks[i];
-        if (!task.sent && !task.seen && !task.draining) return true;
+        if (!task.run_sent && !task.reported && !task.draining) return true;
     }
     return false;
 }
@@ -33,7 +33,7 @@
         auto* job = state_.jobs.find(uid);
         if (!job || job->cancelled || job->finished || (job->is(model::JobKind::gang) && job->gang_failing)) continue;
         const auto& task = job->tasks[i];
-        if (task.sent || task.seen || task.draining || out.size() + 2 > max_commands) continue;
+        if (task.run_sent || task.reported || task.draining || out.size() + 2 > max_commands) continue;
         // A gang member that waits there under an attempt that was given up must be killed first: a worker refuses a
         // task that it has under another attempt, and the gang would fail at once.
         for (const auto& old : heartbeat.tasks)
--- a/src/scheduler/scale_in.cpp
+++ b/src/scheduler/scale_in.cpp
@@ -87,7 +87,7 @@
     if (Seconds(now - machine.last_report) >= state_.settings.heartbeat_interval * lately_intervals) return false;
     if (machine.quarantined || machine.retiring || machine.cordoned) return true;
     const Seconds idle_for = now - machine.idle_since;
-    return idle_for > machine.again(boot_time(machine)) * state_.operator_settings.idle_timeout_factor;
+    return idle_for > machine.replacement_time(boot_time(machine)) * state_.operator_settings.idle_timeout_factor;
 }
 
 Seconds ScaleIn::patience(const Machine& machine, const Situation& situation) const {
--- a/src/scheduler/scale_out.cpp
+++ b/src/scheduler/scale_out.cpp
@@ -27,7 +27,7 @@
     const auto waiting = queue_.ordered(now, false);
     // Services come one by one as well as many to a job: what counts is how many of a class wait together.
     for (const auto* job : waiting)
-        if (job->is(JobKind::service) && !job->doubtful())
+        if (job->is(JobKind::service) && !job->crash_looping())
             round.waiting_services[job->spec.job_class] += job->waiting();
     for (const auto* job : waiting) request_for(*job, round);
     std::vector<fleet::InstanceRequest> out;
@@ -63,7 +63,7 @@
 }
 
 void ScaleOut::request_for(const Job& job, Round& round) const {
-    if (job.doubtful()) return;
+    if (job.crash_looping()) return;
     if (job.is(JobKind::gang) && job.placed == 0) {
         request_for_gang(job, round);
         return;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -37,7 +37,7 @@
 void Scheduler::job_over(const std::string& uid, TimePoint now, Seconds ago) {
     auto* job = state_.jobs.find(uid);
     if (!job || job->finished) return;
-    state_.dependencies.over_somehow(uid);
+    state_.dependencies.closed_unread(uid);
     lifecycle_.cancel(*job, now - model::to_clock(ago));
 }
 
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -34,7 +34,7 @@
     }
     // Where images take long, room is also what lets them be fetched side by side.
     std::erase_if(candidates, [&](const Candidate& candidate) {
-        const auto own = candidate.machine->again(state_.inventory.type(candidate.machine->type)->boot);
+        const auto own = candidate.machine->replacement_time(state_.inventory.type(candidate.machine->type)->boot);
         const auto wait = std::max(own, totals.replacement) * state_.operator_settings.spare_timeout_factor;
         return now < after(spare_since_, wait);
     });
@@ -54,7 +54,7 @@
         ++out.machines;
         out.price += price;
         out.waste += waste;
-        out.replacement += machine->again(type->boot);
+        out.replacement += machine->replacement_time(type->boot);
         // Services do not end by themselves.
         if (machine->row.standing.cpus <= 0) candidates.push_back({waste, price, machine.get()});
     }
--- a/src/scheduler/task_transitions.cpp
+++ b/src/scheduler/task_transitions.cpp
@@ -28,7 +28,7 @@
     t.machine = &machine;
     t.attempt = attempt;
     t.placed_at = now;
-    t.sent = t.seen = t.started = t.draining = t.parked = false;
+    t.run_sent = t.reported = t.started = t.draining = t.at_barrier = false;
     ++job.placed;
     if (job.is(model::JobKind::array)) ++state_.placed_array_tasks[static_cast<std::size_t>(job.spec.priority)];
     state_.inventory.assign(machine, {job.spec.uid, task}, job.spec, job.priority);
@@ -45,18 +45,18 @@
         --job.placed;
         if (job.is(model::JobKind::array)) --state_.placed_array_tasks[static_cast<std::size_t>(job.spec.priority)];
         if (t.started) --job.running;
-        if (t.parked) --job.parked;
+        if (t.at_barrier) --job.members_at_barrier;
     }
     t.machine = nullptr;
-    t.sent = t.seen = t.started = t.draining = t.parked = false;
+    t.run_sent = t.reported = t.started = t.draining = t.at_barrier = false;
     t.state = next;
-    if (next == State::waiting) job.again.push_back(task);
+    if (next == State::waiting) job.requeued.push_back(task);
     // The end of a single task may be written late, for its worker repeats it until it is on record. Only the end of
     // the whole job is written at once: otherwise every task of every array would cost a write of its own.
     const auto left = job.spec.tasks - job.done - (next == State::done);
     const bool over = job.cancelled || job.finished ? job.placed == 0 : left == 0;
     record_change(job, task, over ? RecordUrgency::immediate : RecordUrgency::deferred, now);
-    if (left == 0 && state_.dependencies.needed(job.spec.uid)) state_.record_queue.add_first(job.spec.uid);
+    if (left == 0 && state_.dependencies.has_dependents(job.spec.uid)) state_.record_queue.add_first(job.spec.uid);
 }
 
 void TaskTransitions::lose(Job& job, std::uint32_t task, TimePoint now) {
@@ -70,15 +70,15 @@
 void TaskTransitions::lose_all(Machine& machine, bool only_sent, TimePoint now) {
     const auto tasks = machine.tasks;
     for (const auto& [uid, i] : tasks)
-        if (auto* job = state_.jobs.find(uid); job && (!only_sent || job->tasks[i].sent)) lose(*job, i, now);
+        if (auto* job = state_.jobs.find(uid); job && (!only_sent || job->tasks[i].run_sent)) lose(*job, i, now);
 }
 
 void TaskTransitions::complete(Job& job, std::uint32_t task, TimePoint now) {
     if (job.tasks[task].state == State::done) return;
-    std::erase(job.again, task);
-    if (job.doubtful()) {
+    std::erase(job.requeued, task);
+    if (job.crash_looping()) {
         job.eligible_at = now;
-        job.failures = 0;
+        job.back_offs = 0;
         job.failed_on.clear();
     }
     leave(job, task, State::done, now);
--- a/src/state/generation_marker.hpp
+++ b/src/state/generation_marker.hpp
@@ -1,6 +1,6 @@
 // The generation marker: one key of the store that stands for the history of all records. Whoever answers users or
 // writes records of jobs does so on the condition that the marker is still the one it knows. So no controller goes on
-// as if lost records had never existed after the store has lost data. docs/rebuilding.md has the argument.
+// as if lost records had never existed after the store has lost data. docs/recovery.md has the argument.
 #pragma once
 #include <optional>
 #include <string>
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -269,7 +269,7 @@
     m1.finish("run-1", m1.tasks.at(0).id.index, ExitReason::gang_incomplete);
     w.elect();
     w.heartbeat(m1);
-    EXPECT_EQ(w.leader->job("run-1")->parked, 1u);
+    EXPECT_EQ(w.leader->job("run-1")->members_at_barrier, 1u);
     ASSERT_EQ(w.leader->inventory().notes().size(), 1u);
     EXPECT_EQ(w.leader->inventory().notes()[0].name, "n-000001");
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -211,7 +211,7 @@
                 if (roll(5) == 0) h.fetching.push_back({directory().image(image), 1.0 + roll(9)});
             }
             if (roll(6) == 0) h.fetching_for = model::Priority::critical;
-            if (roll(6) == 0) h.held_for = model::Priority::normal;
+            if (roll(6) == 0) h.reserved_for = model::Priority::normal;
             hosts.push_back(h);
         }
         auto s = spec(roll(3), 5 + 5 * roll(5));
--- a/tests/recovery_simulation_test.cpp
+++ b/tests/recovery_simulation_test.cpp
@@ -171,7 +171,7 @@
     EXPECT_LT(outcome.answers_after, 10);
 }
 
-// The rules table of docs/rebuilding.md: with no memory left jobs are lost, and nothing else may be wrong.
+// The rules table of docs/recovery.md: with no memory left jobs are lost, and nothing else may be wrong.
 TEST(DataLossSimulationTest, JobsThatNobodyRemembersAreForgottenAndNothingRunsTwice) {
     const auto outcome = simulate(
         "kind = \"crash\"\nnode = \"all\"\nlasts_s = 3\nat_s = 50\n[[troubles]]\nkind = \"wipe\"\nat_s = 51", 2);
--- a/tests/scheduler_gang_test.cpp
+++ b/tests/scheduler_gang_test.cpp
@@ -102,7 +102,7 @@
     EXPECT_EQ(commands[0].attempt, 1u);
     EXPECT_EQ(commands[1].type, CommandType::run);
     EXPECT_EQ(commands[1].attempt, 2u);
-    EXPECT_EQ(leader->job("run-1")->parked, 0u);
+    EXPECT_EQ(leader->job("run-1")->members_at_barrier, 0u);
 }
 
 // scenarios/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept stayed empty
@@ -136,7 +136,7 @@
     heartbeat(m1);
     leader->relocate(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "");
-    EXPECT_EQ(leader->job("run-1")->parked, 0u);
+    EXPECT_EQ(leader->job("run-1")->members_at_barrier, 0u);
     commit();
     heartbeat(m1);
     ASSERT_TRUE(place());
--- a/tests/scheduler_placement_test.cpp
+++ b/tests/scheduler_placement_test.cpp
@@ -191,7 +191,7 @@
         ASSERT_GE(leader->job(uid)->placed, 3u) << "one place is for what failed before";
         fail_all();
     }
-    EXPECT_TRUE(leader->job("run-1")->doubtful());
+    EXPECT_TRUE(leader->job("run-1")->crash_looping());
     EXPECT_EQ(leader->running_machines(now), 2u) << "two such jobs on it do not spoil a machine";
     EXPECT_FALSE(place()) << "a pause first";
     EXPECT_TRUE(leader->scale_out(now).empty());
@@ -208,7 +208,7 @@
     settle();
     for (auto* w : {&m1, &m2}) heartbeat(*w);
     place();
-    EXPECT_FALSE(leader->job("run-1")->doubtful());
+    EXPECT_FALSE(leader->job("run-1")->crash_looping());
     EXPECT_EQ(leader->job("run-1")->placed, 3u);
 }
 
