--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -173,7 +173,7 @@
     expect_golden("beat_whole.bin", peer::encode(other_flags(false, true)));
     expect_golden("beat_whole.bin", peer::encode(peer::decode_status(golden("beat_whole.bin"))));
     const auto read = peer::decode_status(golden("beat_full.bin"));
-    EXPECT_TRUE(read.state_ok && read.relays);
+    EXPECT_TRUE(read.store_healthy && read.relays);
     EXPECT_FALSE(read.leading || read.cancellations.complete);
     EXPECT_EQ(read.term, full_beat().term);
     EXPECT_EQ(read.connection, 0u);
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -52,7 +52,7 @@
     std::vector<state::Change> out;
     for (std::uint32_t chunk = 0; chunk < job.chunks.size(); ++chunk) {
         state::Change change;
-        change.key = scheduler::work_key(job.spec.uid, chunk, job.page);
+        change.key = scheduler::work_key(job.spec.uid, chunk, job.tasks_per_record);
         change.value = scheduler::work_record(job, chunk);
         out.push_back(change);
     }
@@ -194,12 +194,13 @@
     expect_golden("work_in_chunks_of_256.txt", all_work(job));
     expect_golden("work_in_chunks_of_256.txt", ranges_again("work_in_chunks_of_256.txt"));
     for (std::uint32_t chunk = 0; chunk < 3; ++chunk) job.chunks[chunk].mod_revision = 100 + chunk;
-    job.use_pages(128);
+    job.split_records(128);
     expect_golden("work_in_pages_of_128.txt", all_work(job));
     expect_golden("work_in_pages_of_128.txt", ranges_again("work_in_pages_of_128.txt"));
-    std::string overruled;
-    for (const auto& record : job.overruled) overruled += record.key + " " + std::to_string(record.mod_revision) + "\n";
-    expect_golden("work_overruled.txt", overruled);
+    std::string superseded;
+    for (const auto& record : job.superseded)
+        superseded += record.key + " " + std::to_string(record.mod_revision) + "\n";
+    expect_golden("work_overruled.txt", superseded);
 }
 
 // A new leader finds on record what the former one wrote, task by task, whatever the size of the records.
@@ -223,7 +224,7 @@
     }
 }
 
-// A submission that is too long for one value, in pieces.
+// A submission that is too long for one value, in fragments.
 TEST(GoldenTest, ALongSubmissionIsCutAndPutTogetherAsBefore) {
     auto settings = golden_settings("hearth-0", "hearth-1");
     settings.store_limits.value_bytes = 1024;
@@ -233,13 +234,13 @@
     for (int i = 0; i < 200; ++i) spec.dependencies.push_back("run-" + std::to_string(1'000'000 + i));
     expect_golden("long_submission.txt", lines_of(scheduler::accepted_records(spec, record_format)));
     const auto changes = changes_in("long_submission.txt");
-    std::map<std::uint32_t, std::string> pieces;
+    std::map<std::uint32_t, std::string> fragments;
     for (const auto& change : changes) {
         const auto named = scheduler::parse_work_key(change.key);
         ASSERT_TRUE(named);
-        if (named->piece) pieces[named->piece] = std::string(change.value->as_object().at("text").as_string());
+        if (named->fragment) fragments[named->fragment] = std::string(change.value->as_object().at("text").as_string());
     }
-    const auto read = scheduler::spec_from_records(changes.at(0).value->as_object(), pieces);
+    const auto read = scheduler::spec_from_records(changes.at(0).value->as_object(), fragments);
     ASSERT_TRUE(read);
     expect_golden("long_submission.txt", lines_of(scheduler::accepted_records(*read, record_format)));
     const auto size = wire::size_from_record(changes.at(0).value->as_object());
@@ -262,7 +263,7 @@
     std::string out, read;
     for (const auto& key :
          {scheduler::work_key(uid, 0), scheduler::work_key(uid, 3), scheduler::work_key(uid, 0, 128),
-          scheduler::work_key(uid, 11, 1), scheduler::piece_key(uid, 1), scheduler::piece_key(uid, 27),
+          scheduler::work_key(uid, 11, 1), scheduler::fragment_key(uid, 1), scheduler::fragment_key(uid, 27),
           scheduler::outcome_key(uid), std::string(scheduler::jobs_prefix), std::string(scheduler::work_prefix),
           std::string(scheduler::over_prefix), scheduler::work_key(uid, 0) + "/s0",
           scheduler::work_key(uid, 0) + "/p256.1", scheduler::work_key(uid, 0) + "/x"})
@@ -271,9 +272,10 @@
     for (const auto& key : lines_of(golden("keys_of_jobs.txt"))) {
         const auto named = scheduler::parse_work_key(key);
         read += key + ": ";
-        read += named ? named->uid + " " + std::to_string(named->chunk) + " " + std::to_string(named->page) + " " +
-                            std::to_string(named->piece) + (named->first() ? " the first\n" : "\n")
-                      : "no work\n";
+        read += named
+                    ? named->uid + " " + std::to_string(named->chunk) + " " + std::to_string(named->tasks_per_record) +
+                          " " + std::to_string(named->fragment) + (named->first() ? " the first\n" : "\n")
+                    : "no work\n";
     }
     expect_golden("keys_of_jobs_read.txt", read);
 }
