--- a/src/app/handover_hints_loop.cpp
+++ b/src/app/handover_hints_loop.cpp
@@ -11,7 +11,7 @@
 awaitable<void> HandoverHintsLoop::run() {
     const auto previous = co_await context_.read_all(scheduler::hints_prefix);
     if (!previous) co_return;
-    context_.scheduler.inventory().recall(hints_.read(previous->items));
+    context_.scheduler.inventory().apply_hints(hints_.read(previous->items));
     while (!context_.stopped) {
         co_await net::sleep_for(write_interval);
         if (context_.stopped || !context_.loaded) continue;
@@ -20,7 +20,7 @@
 }
 
 awaitable<void> HandoverHintsLoop::write_changed_pages() {
-    const auto notes = context_.scheduler.inventory().notes();
+    const auto notes = context_.scheduler.inventory().hints();
     for (const auto& page : hints_.pages(notes)) {
         auto txn = context_.conditioned_on_term();
         txn.changes.push_back(page);
--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -97,7 +97,7 @@
         m.row.capacity = t->capacity;
         m.row.fetch_gb_per_s = t->fetch_gb_per_s;
         // Tasks assigned before the type was known have been taken from zero.
-        placement::give(m.row.free, m.row.capacity);
+        placement::add_resources(m.row.free, m.row.capacity);
     }
 }
 
@@ -109,9 +109,9 @@
 
 void MachineInventory::assign(Machine& m, const TaskKey& task, const model::JobSpec& spec, model::Priority priority) {
     if (!m.tasks.insert(task).second) return;
-    placement::take(m.row.free, spec.need);
+    placement::subtract_resources(m.row.free, spec.need);
     ++m.row.load;
-    if (spec.kind == model::JobKind::service) placement::give(m.row.standing, spec.need);
+    if (spec.kind == model::JobKind::service) placement::add_resources(m.row.held_by_services, spec.need);
     m.fetching[task] = {{directory_.image(spec.image), spec.image_gb}, priority};
     m.update_row();
 }
@@ -135,13 +135,13 @@
         m.update_row();
     else
         used_image(m, spec);
-    placement::give(m.row.free, spec.need);
+    placement::add_resources(m.row.free, spec.need);
     --m.row.load;
-    if (spec.kind == model::JobKind::service) placement::take(m.row.standing, spec.need);
+    if (spec.kind == model::JobKind::service) placement::subtract_resources(m.row.held_by_services, spec.need);
     if (m.tasks.empty()) m.idle_since = now;
 }
 
-std::vector<wire::MachineHint> MachineInventory::notes() const {
+std::vector<wire::MachineHint> MachineInventory::hints() const {
     std::vector<wire::MachineHint> out;
     for (const auto& [name, m] : machines_) {
         if (m->releasing || (m->images.empty() && !m->quarantined)) continue;
@@ -152,9 +152,9 @@
     return out;
 }
 
-void MachineInventory::recall(std::vector<wire::MachineHint> notes) {
+void MachineInventory::apply_hints(std::vector<wire::MachineHint> notes) {
     for (auto& note : notes) {
-        if (gone(note.name)) continue;
+        if (confirmed_gone(note.name)) continue;
         // The size of a machine's cache is known once its type is.
         if (auto* m = find(note.name); m && !m->type.empty())
             apply(note, *m);
@@ -171,13 +171,13 @@
     m.quarantined = m.quarantined || note.quarantined;
 }
 
-void MachineInventory::refused(const Pool& pool, TimePoint now) {
+void MachineInventory::launch_refused(const Pool& pool, TimePoint now) {
     auto& back_off = back_off_[pool];
     back_off.times = std::min(back_off.times + 1, max_doublings);
     back_off.until = now + first_pause * (1 << back_off.times);
 }
 
-bool MachineInventory::open(const Pool& pool, TimePoint now) const {
+bool MachineInventory::may_launch(const Pool& pool, TimePoint now) const {
     const auto it = back_off_.find(pool);
     return it == back_off_.end() || now >= it->second.until;
 }
--- a/src/fleet/machine_inventory.hpp
+++ b/src/fleet/machine_inventory.hpp
@@ -31,8 +31,8 @@
 
     // What its last heartbeat said. A heartbeat is newer than another by (incarnation, sequence).
     std::uint64_t incarnation = 0, sequence = 0;
-    bool reported = false;  // under this leader
-    bool current = false;   // it has seen this leader's term: no command of an older term can still reach it
+    bool reported = false;          // under this leader
+    bool has_current_term = false;  // it has seen this leader's term: no command of an older term can still reach it
     TimePoint known_since{}, last_report{};
     std::optional<TimePoint> terminates_at;  // from a spot notice
 
@@ -40,7 +40,7 @@
     TimePoint starting_at{};   // when a list that showed it booting last came
     bool unlisted = false;     // old enough to be listed, but missing from the newest list: no evidence that it is gone
     bool releasing = false;    // a release was sent, which may be carried out at any time: never used again
-    bool retiring = false;     // its tasks are moved away, and then it is returned
+    bool draining = false;     // its tasks are moved away, and then it is returned
     bool cordoned = false;     // spare: gets no new work while there is room elsewhere, and goes when it is empty
     bool quarantined = false;  // several jobs failed on it
 
@@ -97,7 +97,7 @@
     void describe(Machine& m, const std::string& type, const std::string& zone, bool spot);
     // The cloud has confirmed that the machine is gone. Late heartbeats and lists do not add it again.
     void remove(const std::string& name);
-    bool gone(const std::string& name) const { return gone_.contains(name); }
+    bool confirmed_gone(const std::string& name) const { return gone_.contains(name); }
 
     std::map<std::string, std::unique_ptr<Machine>>& all() { return machines_; }
     const std::map<std::string, std::unique_ptr<Machine>>& all() const { return machines_; }
@@ -108,14 +108,14 @@
     void unassign(Machine& m, const TaskKey& task, const model::JobSpec& spec, TimePoint now);
 
     // Hints for a later leader: the machines that hold images or are quarantined, by name.
-    std::vector<wire::MachineHint> notes() const;
+    std::vector<wire::MachineHint> hints() const;
     // Applies the hints of a former leader to machines that are known, now or later.
-    void recall(std::vector<wire::MachineHint> notes);
+    void apply_hints(std::vector<wire::MachineHint> notes);
 
     // The cloud refused a request: the pool is closed for a while, longer each time.
-    void refused(const Pool& pool, TimePoint now);
-    void granted(const Pool& pool) { back_off_.erase(pool); }
-    bool open(const Pool& pool, TimePoint now) const;
+    void launch_refused(const Pool& pool, TimePoint now);
+    void launch_granted(const Pool& pool) { back_off_.erase(pool); }
+    bool may_launch(const Pool& pool, TimePoint now) const;
 
   private:
     void used_image(Machine& m, const model::JobSpec& spec);
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -10,7 +10,7 @@
 constexpr double slack = 1e-6;    // amounts are decimal fractions; sums of them are not exact
 }  // namespace
 
-unsigned slots(const Resources& need, const Resources& capacity) {
+unsigned task_slots(const Resources& need, const Resources& capacity) {
     double n = 1e6;
     if (need.cpus > 0) n = std::min(n, capacity.cpus / need.cpus);
     if (need.gpus > 0) n = std::min(n, capacity.gpus / need.gpus);
@@ -22,13 +22,13 @@
     return need.cpus <= free.cpus + slack && need.gpus <= free.gpus + slack && need.memory_gb <= free.memory_gb + slack;
 }
 
-void take(Resources& free, const Resources& need) {
+void subtract_resources(Resources& free, const Resources& need) {
     free.cpus -= need.cpus;
     free.gpus -= need.gpus;
     free.memory_gb -= need.memory_gb;
 }
 
-void give(Resources& free, const Resources& need) {
+void add_resources(Resources& free, const Resources& need) {
     free.cpus += need.cpus;
     free.gpus += need.gpus;
     free.memory_gb += need.memory_gb;
@@ -62,10 +62,10 @@
 
 bool JobHosts::excludes(Id slot) const { return std::find(excluded.begin(), excluded.end(), slot) != excluded.end(); }
 
-Ask make_ask(const JobSpec& spec, const Rules& rules, Directory& directory) {
-    Ask ask{&spec, directory.image(spec.image), spec.priority, {}};
-    for (const auto& p : directory.pools()) ask.pools.push_back(allowed(spec, rules, p.type, p.zone, p.spot));
-    return ask;
+Requirements make_requirements(const JobSpec& spec, const Rules& rules, Directory& directory) {
+    Requirements requirements{&spec, directory.image(spec.image), spec.priority, {}};
+    for (const auto& p : directory.pools()) requirements.pools.push_back(allowed(spec, rules, p.type, p.zone, p.spot));
+    return requirements;
 }
 
 Planner::Planner(std::vector<Host> hosts, double memory_margin) : margin_(memory_margin) {
@@ -121,15 +121,16 @@
     rows.resize(kept);
 }
 
-bool Planner::candidate(const Ask& ask, const JobHosts& job, const Host& host) const {
-    const auto& spec = *ask.spec;
-    if (!ask.takes(host.pool) || !fits(spec.need, host.free)) return false;
-    if (host.reserved_for && ask.priority <= *host.reserved_for) return false;
+bool Planner::candidate(const Requirements& requirements, const JobHosts& job, const Host& host) const {
+    const auto& spec = *requirements.spec;
+    if (!requirements.allows(host.pool) || !fits(spec.need, host.free)) return false;
+    if (host.reserved_for && requirements.priority <= *host.reserved_for) return false;
     // The margin is for what else the machine holds. An empty machine needs none, or a task that fills a machine
     // could never run.
     if (host.load > 0 && host.free.memory_gb + slack < spec.need.memory_gb * (1 + margin_)) return false;
     // Fetches share the machine's rate: one more would hold up the more important task that waits for its own.
-    if (ask.priority < host.fetching_for && !host.fetching.empty() && !host.has(ask.image) && !host.fetches(ask.image))
+    if (requirements.priority < host.fetching_for && !host.fetching.empty() && !host.has(requirements.image) &&
+        !host.fetches(requirements.image))
         return false;
     if (spec.one_zone)
         for (Id zone = 0; zone < job.per_zone.size(); ++zone)
@@ -150,62 +151,64 @@
 // job's own machines come first, then, for tasks without accelerators, those that have the fewest free, then those that
 // have its image soonest (in coarse steps, so that load still counts), then spot ones, which not every job may use,
 // then the least loaded. Services stay for good, so they go to large machines and leave whole small ones to gangs.
-Planner::Score Planner::score(const Ask& ask, std::size_t i) const {
+Planner::Score Planner::score(const Requirements& requirements, std::size_t i) const {
     const auto& h = hosts_[i];
     Score o;
-    o.risky = h.spot && ask.priority >= model::Priority::high;
-    const bool service = ask.spec->kind == model::JobKind::service;
+    o.risky = h.spot && requirements.priority >= model::Priority::high;
+    const bool service = requirements.spec->kind == model::JobKind::service;
     o.foreign = !service && own_[i] != epoch_;
     o.shared = service && own_[i] == epoch_;
-    if (ask.spec->need.gpus <= slack) o.idles = static_cast<int>(h.free.gpus + slack);
-    o.wait = static_cast<int>(h.image_wait(ask.image, ask.spec->image_gb) / image_step);
+    if (requirements.spec->need.gpus <= slack) o.idles = static_cast<int>(h.free.gpus + slack);
+    o.wait = static_cast<int>(h.image_wait(requirements.image, requirements.spec->image_gb) / image_step);
     o.ordinary = !h.spot;
-    o.size = service ? -static_cast<int>(slots(ask.spec->need, h.capacity)) : 0;
+    o.size = service ? -static_cast<int>(task_slots(requirements.spec->need, h.capacity)) : 0;
     o.load = h.load;
     o.at = i;
     return o;
 }
 
-void Planner::put(std::size_t i, const Ask& ask, JobHosts& job) {
-    reserve(i, ask);
+void Planner::put(std::size_t i, const Requirements& requirements, JobHosts& job) {
+    reserve(i, requirements);
     auto& host = hosts_[i];
-    if (!host.has(ask.image)) {
-        if (!host.fetches(ask.image)) host.fetching.push_back({ask.image, ask.spec->image_gb});
-        host.fetching_for = std::max(host.fetching_for, ask.priority);
+    if (!host.has(requirements.image)) {
+        if (!host.fetches(requirements.image))
+            host.fetching.push_back({requirements.image, requirements.spec->image_gb});
+        host.fetching_for = std::max(host.fetching_for, requirements.priority);
     }
     job.add_to_zone(host.zone);
     job.own.push_back(host.slot);
     own_[i] = epoch_;
 }
 
-std::size_t Planner::peek(const Ask& ask, const JobHosts& job) const {
+std::size_t Planner::best_host(const Requirements& requirements, const JobHosts& job) const {
     mark(job);
     std::optional<Score> best;
-    each_roomy(ask.spec->need, [&](std::size_t i) {
-        if (excluded_[i] == epoch_ || !candidate(ask, job, hosts_[i])) return;
-        if (const auto o = score(ask, i); !best || o < *best) best = o;
+    each_roomy(requirements.spec->need, [&](std::size_t i) {
+        if (excluded_[i] == epoch_ || !candidate(requirements, job, hosts_[i])) return;
+        if (const auto o = score(requirements, i); !best || o < *best) best = o;
     });
     return best ? best->at : none;
 }
 
-std::size_t Planner::place(const Ask& ask, JobHosts& job) {
-    const auto best = peek(ask, job);
-    if (best != none) put(best, ask, job);
+std::size_t Planner::place(const Requirements& requirements, JobHosts& job) {
+    const auto best = best_host(requirements, job);
+    if (best != none) put(best, requirements, job);
     return best;
 }
 
 // All candidates are ordered once. Placing a task changes the score of its own machine alone, and otherwise only
 // removes candidates (by the job's zones), which is checked when their turn comes.
-std::vector<std::size_t> Planner::place_many(const Ask& ask, JobHosts& job, std::size_t count,
+std::vector<std::size_t> Planner::place_many(const Requirements& requirements, JobHosts& job, std::size_t count,
                                              std::optional<Id> only_zone) {
     std::vector<std::size_t> out;
     if (count == 0) return out;
     mark(job);
     std::vector<Score> heap;
-    each_roomy(ask.spec->need, [&](std::size_t i) {
-        if (excluded_[i] == epoch_ || (only_zone && hosts_[i].zone != *only_zone) || !candidate(ask, job, hosts_[i]))
+    each_roomy(requirements.spec->need, [&](std::size_t i) {
+        if (excluded_[i] == epoch_ || (only_zone && hosts_[i].zone != *only_zone) ||
+            !candidate(requirements, job, hosts_[i]))
             return;
-        heap.push_back(score(ask, i));
+        heap.push_back(score(requirements, i));
     });
     const auto later = [](const Score& a, const Score& b) { return b < a; };
     std::make_heap(heap.begin(), heap.end(), later);
@@ -213,57 +216,59 @@
         std::pop_heap(heap.begin(), heap.end(), later);
         const auto i = heap.back().at;
         heap.pop_back();
-        if (!candidate(ask, job, hosts_[i])) continue;
-        put(i, ask, job);
+        if (!candidate(requirements, job, hosts_[i])) continue;
+        put(i, requirements, job);
         out.push_back(i);
-        if (candidate(ask, job, hosts_[i])) {
-            heap.push_back(score(ask, i));
+        if (candidate(requirements, job, hosts_[i])) {
+            heap.push_back(score(requirements, i));
             std::push_heap(heap.begin(), heap.end(), later);
         }
     }
     return out;
 }
 
-std::size_t Planner::place_at(std::size_t i, const Ask& ask, JobHosts& job, std::size_t count) {
+std::size_t Planner::place_at(std::size_t i, const Requirements& requirements, JobHosts& job, std::size_t count) {
     std::size_t n = 0;
-    while (n < count && would_take(hosts_[i], ask, job)) {
-        put(i, ask, job);
+    while (n < count && would_take(hosts_[i], requirements, job)) {
+        put(i, requirements, job);
         ++n;
     }
     return n;
 }
 
-void Planner::reserve(std::size_t i, const Ask& ask) {
+void Planner::reserve(std::size_t i, const Requirements& requirements) {
     if (trial_) trial_->before_.emplace_back(i, hosts_[i]);
-    take(hosts_[i].free, ask.spec->need);
+    subtract_resources(hosts_[i].free, requirements.spec->need);
     ++hosts_[i].load;
 }
 
-std::size_t Planner::room_in(const Ask& ask, const JobHosts& job, std::size_t count, std::optional<Id> zone) const {
+std::size_t Planner::room_in(const Requirements& requirements, const JobHosts& job, std::size_t count,
+                             std::optional<Id> zone) const {
     std::size_t room = 0;
-    each_roomy(ask.spec->need, [&](std::size_t i) {
-        if (room >= count || (zone && hosts_[i].zone != *zone) || !would_take(hosts_[i], ask, job)) return;
-        room += slots(ask.spec->need, hosts_[i].free);
+    each_roomy(requirements.spec->need, [&](std::size_t i) {
+        if (room >= count || (zone && hosts_[i].zone != *zone) || !would_take(hosts_[i], requirements, job)) return;
+        room += task_slots(requirements.spec->need, hosts_[i].free);
     });
     return std::min(room, count);
 }
 
-std::vector<std::size_t> Planner::place_together(const Ask& ask, JobHosts& job, std::size_t count,
+std::vector<std::size_t> Planner::place_together(const Requirements& requirements, JobHosts& job, std::size_t count,
                                                  std::optional<Id> only_zone) {
     const auto attempt = [&](std::optional<Id> zone) {
         Together out;
-        if (room_in(ask, job, count, zone) < count) return out;  // most attempts end here, having cost one scan
+        if (room_in(requirements, job, count, zone) < count)
+            return out;  // most attempts end here, having cost one scan
         auto trial_job = job;
         Trial trial(*this);
-        out.places = place_many(ask, trial_job, count, zone);
+        out.places = place_many(requirements, trial_job, count, zone);
         if (out.places.size() < count) out.places.clear();
         // The rows as they were before: the task placed there first waits longest.
         for (const auto& [i, before] : trial.before_)
-            out.wait = std::max(out.wait, before.image_wait(ask.image, ask.spec->image_gb));
+            out.wait = std::max(out.wait, before.image_wait(requirements.image, requirements.spec->image_gb));
         return out;
     };
     Together best;
-    if (!ask.spec->one_zone || only_zone || job.anywhere()) {
+    if (!requirements.spec->one_zone || only_zone || job.anywhere()) {
         best = attempt(only_zone);
     } else {
         // All start together, so the zone is best whose last machine has the image soonest.
@@ -276,12 +281,12 @@
     }
     if (best.places.empty()) return {};
     mark(job);
-    for (const auto i : best.places) put(i, ask, job);
+    for (const auto i : best.places) put(i, requirements, job);
     return best.places;
 }
 
-void Planner::reserve_for_gang(const Ask& ask, std::size_t count) {
-    const auto& spec = *ask.spec;
+void Planner::reserve_for_gang(const Requirements& requirements, std::size_t count) {
+    const auto& spec = *requirements.spec;
     struct Choice {
         double lack;
         std::size_t at;
@@ -290,9 +295,9 @@
     std::vector<Choice> choices;
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
         const auto& h = hosts_[i];
-        if (h.reserved_for || !ask.takes(h.pool)) continue;
+        if (h.reserved_for || !requirements.allows(h.pool)) continue;
         auto once_free = h.capacity;
-        take(once_free, h.standing);
+        subtract_resources(once_free, h.held_by_services);
         if (!fits(spec.need, once_free)) continue;
         const auto lack = std::max({(spec.need.cpus - h.free.cpus) / std::max(1.0, h.capacity.cpus),
                                     (spec.need.gpus - h.free.gpus) / std::max(1.0, h.capacity.gpus),
@@ -306,10 +311,10 @@
     }
     count = std::min(count, choices.size());
     std::nth_element(choices.begin(), choices.begin() + static_cast<std::ptrdiff_t>(count - 1), choices.end());
-    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].reserved_for = ask.priority;
+    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].reserved_for = requirements.priority;
 }
 
-bool before(const Waiting& a, const Waiting& b, double ageing) {
+bool precedes(const QueueEntry& a, const QueueEntry& b, double ageing) {
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
     if (a.priority != b.priority) return a.priority > b.priority;
     if (a.window != b.window) return a.window < b.window;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -20,9 +20,9 @@
 
 bool fits(const Resources& need, const Resources& free);
 // How many such tasks a machine of that capacity holds.
-unsigned slots(const Resources& need, const Resources& capacity);
-void take(Resources& free, const Resources& need);
-void give(Resources& free, const Resources& need);
+unsigned task_slots(const Resources& need, const Resources& capacity);
+void subtract_resources(Resources& free, const Resources& need);
+void add_resources(Resources& free, const Resources& need);
 
 // A machine as placement knows it: one row of the load table.
 struct Host {
@@ -36,7 +36,7 @@
     bool spot = false;
     unsigned load = 0;  // tasks assigned
     Resources capacity, free;
-    Resources standing;                                    // what services hold, which do not end by themselves
+    Resources held_by_services;                            // what services hold, which do not end by themselves
     double fetch_gb_per_s = 0;                             // shared by all that it fetches
     model::Priority fetching_for = model::Priority::idle;  // the highest priority that waits for an image
     std::optional<model::Priority> reserved_for;           // its room is reserved for a gang of this priority
@@ -73,16 +73,16 @@
 bool allowed(const JobSpec& spec, const Rules& rules, const std::string& type, const std::string& zone, bool spot);
 
 // A job's requirements in numbers. Refers to the job's specification, which must outlive it.
-struct Ask {
+struct Requirements {
     const JobSpec* spec = nullptr;
     Id image = 0;
     model::Priority priority = model::Priority::normal;  // inherited from jobs that need it, or its own
     std::vector<char> pools;                             // by the pool's number: whether its machines are allowed
 
-    bool takes(Id pool) const { return pool < pools.size() && pools[pool]; }
+    bool allows(Id pool) const { return pool < pools.size() && pools[pool]; }
 };
 
-Ask make_ask(const JobSpec& spec, const Rules& rules, Directory& directory);
+Requirements make_requirements(const JobSpec& spec, const Rules& rules, Directory& directory);
 
 class Planner {
   public:
@@ -92,36 +92,37 @@
     Planner(std::vector<Host> hosts, double memory_margin);
 
     // Where one task would be placed, or none.
-    std::size_t peek(const Ask& ask, const JobHosts& job) const;
+    std::size_t best_host(const Requirements& requirements, const JobHosts& job) const;
 
     // Whether a machine in that condition would be a candidate.
-    bool would_take(const Host& host, const Ask& ask, const JobHosts& job) const {
-        return !job.excludes(host.slot) && candidate(ask, job, host);
+    bool would_take(const Host& host, const Requirements& requirements, const JobHosts& job) const {
+        return !job.excludes(host.slot) && candidate(requirements, job, host);
     }
 
     // Places one task and takes its room, or returns none.
-    std::size_t place(const Ask& ask, JobHosts& job);
+    std::size_t place(const Requirements& requirements, JobHosts& job);
 
     // Places up to so many tasks, each where `place` would put it after the one before.
-    std::vector<std::size_t> place_many(const Ask& ask, JobHosts& job, std::size_t count,
+    std::vector<std::size_t> place_many(const Requirements& requirements, JobHosts& job, std::size_t count,
                                         std::optional<Id> only_zone = {});
 
     // Places up to so many tasks on that host, as long as it is a candidate. Returns how many.
-    std::size_t place_at(std::size_t i, const Ask& ask, JobHosts& job, std::size_t count);
+    std::size_t place_at(std::size_t i, const Requirements& requirements, JobHosts& job, std::size_t count);
 
     // Takes room there for a task that will be placed later.
-    void reserve(std::size_t i, const Ask& ask);
+    void reserve(std::size_t i, const Requirements& requirements);
 
     // Places so many tasks together, or none of them.
-    std::vector<std::size_t> place_together(const Ask& ask, JobHosts& job, std::size_t count,
+    std::vector<std::size_t> place_together(const Requirements& requirements, JobHosts& job, std::size_t count,
                                             std::optional<Id> only_zone = {});
 
     // How many of so many tasks would find room in that zone now.
-    std::size_t room_in(const Ask& ask, const JobHosts& job, std::size_t count, std::optional<Id> zone) const;
+    std::size_t room_in(const Requirements& requirements, const JobHosts& job, std::size_t count,
+                        std::optional<Id> zone) const;
 
     // Reserves the room that will be free on the likeliest machines for a gang that does not fit now: jobs of no higher
     // priority do not take it in this pass.
-    void reserve_for_gang(const Ask& ask, std::size_t count);
+    void reserve_for_gang(const Requirements& requirements, std::size_t count);
 
     std::size_t add(Host host);
     // The row of that machine, or none.
@@ -165,11 +166,11 @@
         Seconds wait{0};  // until the last of its machines has the image
     };
 
-    bool candidate(const Ask& ask, const JobHosts& job, const Host& host) const;
-    Score score(const Ask& ask, std::size_t i) const;
+    bool candidate(const Requirements& requirements, const JobHosts& job, const Host& host) const;
+    Score score(const Requirements& requirements, std::size_t i) const;
     // Marks which rows are the job's own and which are excluded, for the scans that follow.
     void mark(const JobHosts& job) const;
-    void put(std::size_t i, const Ask& ask, JobHosts& job);
+    void put(std::size_t i, const Requirements& requirements, JobHosts& job);
     template <class F>
     void each_roomy(const Resources& need, F visit) const;
 
@@ -184,7 +185,7 @@
 
 // What the order of the queue goes by: the guaranteed share first, then priority, then batching window, then length
 // less the discount for the wait.
-struct Waiting {
+struct QueueEntry {
     model::Priority priority = model::Priority::normal;
     std::int64_t window = 0;
     Seconds length{0}, waited{0};
@@ -193,6 +194,6 @@
 };
 
 // Whether a is planned before b. `ageing`: seconds of length that a second of waiting outweighs.
-bool before(const Waiting& a, const Waiting& b, double ageing);
+bool precedes(const QueueEntry& a, const QueueEntry& b, double ageing);
 
 }  // namespace flintdale::placement
--- a/src/quota/quota_accounting.cpp
+++ b/src/quota/quota_accounting.cpp
@@ -59,7 +59,7 @@
     for (auto& [name, team] : teams_) team.stale = true;
 }
 
-const Figures* QuotaAccounting::figures(const std::string& team) const {
+const TeamQuota* QuotaAccounting::figures(const std::string& team) const {
     const auto it = table_.find(team);
     return it == table_.end() ? nullptr : &it->second;
 }
@@ -69,14 +69,14 @@
     return it == teams_.end() ? nullptr : &it->second;
 }
 
-void QuotaAccounting::placed(const std::string& team, const model::Resources& need) {
+void QuotaAccounting::task_placed(const std::string& team, const model::Resources& need) {
     auto& t = teams_[team];
     t.use.cpus += need.cpus;
     t.use.gpus += need.gpus;
     ++t.tasks;
 }
 
-void QuotaAccounting::gone(const std::string& team, const model::Resources& need) {
+void QuotaAccounting::task_gone(const std::string& team, const model::Resources& need) {
     auto& t = teams_[team];
     assert(t.tasks > 0);
     // Sums of many decimal numbers drift; where nothing is placed nothing is used.
@@ -113,12 +113,12 @@
     return !its_figures || its_figures->limit.cpus > 0 || its_figures->limit.gpus > 0;
 }
 
-void QuotaAccounting::opened(const model::JobSpec& spec) {
+void QuotaAccounting::job_opened(const model::JobSpec& spec) {
     auto& t = teams_[spec.team];
     t.stale = t.open.insert({spec.accepted_ms, spec.uid, total(spec.need, spec.tasks)}).second || t.stale;
 }
 
-void QuotaAccounting::over(const model::JobSpec& spec) {
+void QuotaAccounting::job_closed(const model::JobSpec& spec) {
     auto& t = teams_[spec.team];
     t.stale = t.open.erase({spec.accepted_ms, spec.uid, {}}) > 0 || t.stale;
 }
@@ -153,7 +153,7 @@
     return t->guaranteed.contains(uid);
 }
 
-bool QuotaAccounting::may_stop(const std::string& team, const Amount& stopping, const model::Resources& need) const {
+bool QuotaAccounting::may_preempt(const std::string& team, const Amount& stopping, const model::Resources& need) const {
     const auto* its_figures = figures(team);
     if (!its_figures) return true;
     const auto used = use(team);
--- a/src/quota/quota_accounting.hpp
+++ b/src/quota/quota_accounting.hpp
@@ -22,13 +22,13 @@
 };
 
 // A team's figures; 0 means none, for limits and guarantees alike.
-struct Figures {
+struct TeamQuota {
     Amount limit, guarantee;
-    bool operator==(const Figures&) const = default;
+    bool operator==(const TeamQuota&) const = default;
 };
 
 // By team. Controllers that are restarted one by one with new settings have different tables for a while.
-using Table = std::map<std::string, Figures>;
+using Table = std::map<std::string, TeamQuota>;
 
 Table table_of(const std::vector<config::Team>& teams);
 
@@ -47,9 +47,10 @@
 
     // --- usage ---
 
-    // A task of the team was placed, or is gone. Each call of gone() must follow one of placed() with the same need.
-    void placed(const std::string& team, const model::Resources& need);
-    void gone(const std::string& team, const model::Resources& need);
+    // A task of the team was placed, or is gone. Each call of task_gone() must follow one of task_placed() with the
+    // same need.
+    void task_placed(const std::string& team, const model::Resources& need);
+    void task_gone(const std::string& team, const model::Resources& need);
     Amount use(const std::string& team) const;
     // How many more such tasks the team's limit leaves room for, at most `tasks`; none for a team that is not known.
     std::uint32_t room(const std::string& team, const model::Resources& need, std::uint32_t tasks) const;
@@ -64,8 +65,8 @@
 
     // An open job, and one that is over. Open jobs count in the order of their acceptance on record, which is the same
     // for every controller.
-    void opened(const model::JobSpec& spec);
-    void over(const model::JobSpec& spec);
+    void job_opened(const model::JobSpec& spec);
+    void job_closed(const model::JobSpec& spec);
 
     // Whether any team has a guarantee.
     bool any_guarantee() const;
@@ -76,7 +77,7 @@
     bool guaranteed(const std::string& team, const std::string& uid) const;
     // Whether a task of the team that is not guaranteed may be preempted for another team's guarantee, while `stopping`
     // of the team's usage is being stopped already. No team is brought below its own guarantee.
-    bool may_stop(const std::string& team, const Amount& stopping, const model::Resources& need) const;
+    bool may_preempt(const std::string& team, const Amount& stopping, const model::Resources& need) const;
     // Whether guaranteed tasks of the team are not placed. For the log and for tests.
     bool below_guarantee(const std::string& team) const;
 
@@ -98,7 +99,7 @@
         mutable std::set<std::string> guaranteed;  // uids
         mutable Amount guaranteed_need;            // of those jobs
     };
-    const Figures* figures(const std::string& team) const;
+    const TeamQuota* figures(const std::string& team) const;
     const Team* find(const std::string& team) const;
     // Computes what is stale.
     void refresh(const std::string& name, const Team& team) const;
--- a/src/scheduler/defragmentation.cpp
+++ b/src/scheduler/defragmentation.cpp
@@ -19,7 +19,7 @@
         const auto to = destinations(*machine, plan);
         spdlog::info("event=machine_draining_for_defragmentation machine={} type={} tasks={}", machine->name,
                      machine->type, machine->tasks.size());
-        machine->retiring = true;
+        machine->draining = true;
         plan.remove(machine->row.slot);
         std::size_t next = 0;
         for (const auto& [uid, i] : machine->tasks) relocation_.start(*state_.jobs.find(uid), i, to[next++], now);
@@ -46,7 +46,7 @@
     for (const auto& [uid, i] : machine.tasks) {
         const auto& need = state_.jobs.find(uid)->spec.need;
         for (const auto& type : state_.inventory.types()) {
-            const auto slots = placement::slots(need, type.capacity);
+            const auto slots = placement::task_slots(need, type.capacity);
             if (slots > 0 && (cheapest == 0 || type.price / slots < cheapest)) cheapest = type.price / slots;
         }
     }
@@ -78,7 +78,7 @@
     for (const auto& [uid, i] : machine.tasks) {
         const auto* job = state_.jobs.find(uid);
         const auto& ask = demand_.ask_of(*job);
-        const auto at = plan.peek(ask, demand_.hosts_without(*job, i));
+        const auto at = plan.best_host(ask, demand_.hosts_without(*job, i));
         if (at == placement::Planner::none || plan.host(at).load == 0 || !plan.host(at).has(ask.image)) return {};
         out.push_back(plan.host(at).slot);
         plan.reserve(at, ask);
--- a/src/scheduler/fleet_view.cpp
+++ b/src/scheduler/fleet_view.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 bool FleetView::usable(const Machine& machine, TimePoint now) const {
-    return machine.reported && !machine.releasing && !machine.retiring && !machine.cordoned && !machine.quarantined &&
+    return machine.reported && !machine.releasing && !machine.draining && !machine.cordoned && !machine.quarantined &&
            !machine.terminates_at && !machine.listed_failed &&
            now - machine.last_report < model::to_clock(state_.settings.heartbeat_interval * unusable_intervals);
 }
@@ -100,7 +100,7 @@
     listed_at_ = now;
     for (const auto& listed : machines) {
         // The list lags: what it still shows may be gone already, and then it must not come back.
-        if (state_.inventory.gone(listed.name)) continue;
+        if (state_.inventory.confirmed_gone(listed.name)) continue;
         const bool is_new = !state_.inventory.find(listed.name);
         auto& machine = state_.inventory.add(listed.name, listed.type, listed.zone, listed.spot, now);
         if (is_new) machine.known_since = now - model::to_clock(listed.age);
@@ -127,7 +127,7 @@
 // All that may run on the machine is known if it has shown its tasks under this term, or if it was still starting after
 // this term had begun, so that no earlier leader's command can have reached it.
 bool FleetView::reconciled(const Machine& machine) const {
-    return (machine.current && !with_unknown_tasks_.contains(machine.name)) ||
+    return (machine.has_current_term && !with_unknown_tasks_.contains(machine.name)) ||
            machine.starting_at - list_age() >= state_.term_began;
 }
 
--- a/src/scheduler/heartbeat_reconciler.cpp
+++ b/src/scheduler/heartbeat_reconciler.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 std::optional<std::vector<Command>> HeartbeatReconciler::handle(const model::Heartbeat& heartbeat, TimePoint now) {
-    if (state_.inventory.gone(heartbeat.machine)) return std::nullopt;
+    if (state_.inventory.confirmed_gone(heartbeat.machine)) return std::nullopt;
     auto& machine = state_.inventory.add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now);
     if (machine.reported &&
         std::pair(heartbeat.incarnation, heartbeat.sequence) <= std::pair(machine.incarnation, machine.sequence))
@@ -41,7 +41,7 @@
     if (machine.terminates_at) drain_before_termination(machine, now);
     // Only a worker that has seen this term can no longer be reached by run commands of an older one, and only then is
     // a task that it does not show really not there.
-    if (machine.current)
+    if (machine.has_current_term)
         for (const auto& [uid, i] : not_shown(machine))
             if (auto* job = state_.jobs.find(uid)) missing(*job, i, machine, commands, now);
     return commands;
@@ -53,11 +53,11 @@
                       heartbeat.zone, heartbeat.spot);
     if (machine.reported && heartbeat.incarnation > machine.incarnation) {
         spdlog::info("event=worker_lease_expired machine={} tasks={} sure={}", machine.name, machine.tasks.size(),
-                     machine.current);
+                     machine.has_current_term);
         // What was placed before this term may have been started in this very incarnation, if the heartbeat before was
         // a copy from an earlier one: it is gone only if the worker had seen this term in that incarnation, when no
         // older leader's run command could reach it any more. What this leader sent was sent after that.
-        if (machine.current) tasks_.lose_all(machine, true, now);
+        if (machine.has_current_term) tasks_.lose_all(machine, true, now);
     }
     if (!machine.reported) machine.idle_since = now;
     machine.reported = true;
@@ -65,7 +65,7 @@
     machine.incarnation = heartbeat.incarnation;
     machine.sequence = heartbeat.sequence;
     machine.last_report = now;
-    machine.current = heartbeat.fencing_token == state_.term;
+    machine.has_current_term = heartbeat.fencing_token == state_.term;
     machine.reported_tasks = heartbeat.tasks.size();
     if (!heartbeat.termination_notice) return;
     if (!machine.terminates_at)
@@ -202,7 +202,7 @@
     }
     const auto i = report.id.index;
     auto& task = job.tasks[i];
-    if (!machine.current || task.state == State::done || job.finished) return false;
+    if (!machine.has_current_term || task.state == State::done || job.finished) return false;
     if (report.status == TaskStatus::exited && report.exit_reason != ExitReason::done) {
         // It is over, but no attempt may have that number again.
         task.attempt = std::max(task.attempt, report.attempt);
--- a/src/scheduler/job.hpp
+++ b/src/scheduler/job.hpp
@@ -53,7 +53,7 @@
 // An open job.
 struct Job {
     JobSpec spec;
-    mutable placement::Ask ask;                          // its requirements in numbers, made when first needed
+    mutable placement::Requirements ask;                 // its requirements in numbers, made when first needed
     model::Priority priority = model::Priority::normal;  // its own, or that of a job which needs it
     bool waits_for_dependencies = false;                 // not all jobs that it needs are known to be done
     bool dependency_failed = false;                      // a job that it needs was cancelled: so must it be
--- a/src/scheduler/job_demand.cpp
+++ b/src/scheduler/job_demand.cpp
@@ -9,20 +9,20 @@
 using placement::JobHosts;
 using State = Task::State;
 
-const placement::Ask& JobDemand::ask_of(const Job& job) const {
+const placement::Requirements& JobDemand::ask_of(const Job& job) const {
     // Pools become known as machines of theirs appear.
     if (job.ask.pools.size() != state_.inventory.directory().pools().size() || !job.ask.spec)
-        job.ask = placement::make_ask(job.spec, state_.rules, state_.inventory.directory());
+        job.ask = placement::make_requirements(job.spec, state_.rules, state_.inventory.directory());
     job.ask.priority = job.priority;
     return job.ask;
 }
 
-placement::Ask JobDemand::ask_for_slots(const Job& job, unsigned slots) const {
+placement::Requirements JobDemand::ask_for_slots(const Job& job, unsigned slots) const {
     auto ask = ask_of(job);
     const auto& pools = state_.inventory.directory().pools();
     for (std::size_t i = 0; i < ask.pools.size(); ++i)
         if (const auto* type = state_.inventory.type(pools[i].type);
-            !type || placement::slots(job.spec.need, type->capacity) < slots)
+            !type || placement::task_slots(job.spec.need, type->capacity) < slots)
             ask.pools[i] = false;
     return ask;
 }
--- a/src/scheduler/job_demand.hpp
+++ b/src/scheduler/job_demand.hpp
@@ -13,9 +13,9 @@
     explicit JobDemand(SchedulerState& state) : state_(state) {}
 
     // The job's requirements in numbers, made when first needed. Valid until the job is gone.
-    const placement::Ask& ask_of(const Job& job) const;
+    const placement::Requirements& ask_of(const Job& job) const;
     // The same without the machines that hold fewer than so many such tasks.
-    placement::Ask ask_for_slots(const Job& job, unsigned slots) const;
+    placement::Requirements ask_for_slots(const Job& job, unsigned slots) const;
     // Where tasks of the job are, and the machines that must not take another.
     placement::JobHosts hosts_of(const Job& job) const;
     // The same as if that placed task were gone, with its machine excluded.
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -27,7 +27,7 @@
     job->eligible_at = known_before || first ? now : TimePoint((now.time_since_epoch() / window + 1) * window);
     job->spec = std::move(spec);
     auto& added = state_.jobs.add(std::move(job));
-    state_.quota.opened(added.spec);
+    state_.quota.job_opened(added.spec);
     return added;
 }
 
@@ -39,7 +39,7 @@
     spdlog::info("event=job_cancelled job={} placed={}", job.spec.uid, job.placed);
     job.cancelled = true;
     job.cancelled_at = at;
-    state_.quota.over(job.spec);
+    state_.quota.job_closed(job.spec);
     for (std::uint32_t i = 0; i < job.spec.tasks && job.placed; ++i)
         // A task that no run command was sent for runs nowhere; the others must be seen to be gone.
         if (auto& t = job.tasks[i]; t.state == Task::State::placed && !t.run_sent)
@@ -49,7 +49,7 @@
 
 void JobLifecycle::finish(Job& job) {
     job.finished = true;
-    state_.quota.over(job.spec);
+    state_.quota.job_closed(job.spec);
 }
 
 void JobLifecycle::set_dependencies(Job& job, const std::vector<std::string>& dependencies, TimePoint now) {
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -60,7 +60,7 @@
         if (unknown_pool || state_.quota.limited(job->spec.team)) return true;
         const auto& ask = demand_.ask_of(*job);
         return std::any_of(uncertain_pools.begin(), uncertain_pools.end(),
-                           [&](placement::Id pool) { return ask.takes(pool); });
+                           [&](placement::Id pool) { return ask.allows(pool); });
     });
     return jobs;
 }
@@ -143,7 +143,7 @@
     if (job.crash_looping()) {
         // A try on another machine tells most, and any machine will do once all have failed it.
         most = std::min(most, job.placed ? 0u : 1u);
-        if (most > 0 && plan.peek(ask, hosts) == Planner::none) hosts.excluded.clear();
+        if (most > 0 && plan.best_host(ask, hosts) == Planner::none) hosts.excluded.clear();
     }
     if (now < job.room_made_by) {
         // Room is being made for the rest of the job: nothing else will do until then.
@@ -166,13 +166,13 @@
 void PlacementPass::place_with_image(Job& job, JobHosts& hosts, std::uint32_t most, Planner& plan, TimePoint now) {
     const auto& ask = demand_.ask_of(job);
     for (; most > 0; --most) {
-        const auto at = plan.peek(ask, hosts);
+        const auto at = plan.best_host(ask, hosts);
         if (at == Planner::none || !plan.host(at).has(ask.image) || !plan.place_at(at, ask, hosts, 1)) return;
         place_task(job, plan.host(at).slot, now);
     }
 }
 
-placement::Ask PlacementPass::spot_only(const placement::Ask& ask) const {
+placement::Requirements PlacementPass::spot_only(const placement::Requirements& ask) const {
     auto out = ask;
     const auto& pools = state_.inventory.directory().pools();
     for (std::size_t i = 0; i < out.pools.size(); ++i) out.pools[i] = out.pools[i] && pools[i].spot;
--- a/src/scheduler/placement_pass.hpp
+++ b/src/scheduler/placement_pass.hpp
@@ -42,7 +42,7 @@
     void place_with_image(Job& job, placement::JobHosts& hosts, std::uint32_t most, placement::Planner& plan,
                           TimePoint now);
     bool leaves_on_demand_machines(const Job& job, TimePoint now) const;
-    placement::Ask spot_only(const placement::Ask& ask) const;
+    placement::Requirements spot_only(const placement::Requirements& ask) const;
     // The next waiting task of the job, those placed before first.
     static std::uint32_t take_waiting(Job& job);
 
--- a/src/scheduler/placement_queue.cpp
+++ b/src/scheduler/placement_queue.cpp
@@ -10,12 +10,12 @@
 }  // namespace
 
 std::vector<Job*> PlacementQueue::ordered(TimePoint now, bool eligible_only) {
-    std::vector<std::pair<placement::Waiting, Job*>> waiting;
+    std::vector<std::pair<placement::QueueEntry, Job*>> waiting;
     const bool guarantees = state_.quota.any_guarantee();
     for (const auto& [uid, job] : state_.jobs.all()) {
         if (!job->runnable() || job->waiting() == 0) continue;
         if (eligible_only && now < job->eligible_at) continue;
-        placement::Waiting entry;
+        placement::QueueEntry entry;
         entry.guaranteed = guarantees && demand_.guaranteed(*job);
         entry.priority = job->priority;
         // What its window could not place waits in one queue with the rest of that kind, ahead of new windows:
@@ -27,7 +27,7 @@
         waiting.emplace_back(entry, job.get());
     }
     std::sort(waiting.begin(), waiting.end(), [&](const auto& a, const auto& b) {
-        return placement::before(a.first, b.first, state_.operator_settings.aging_rate);
+        return placement::precedes(a.first, b.first, state_.operator_settings.aging_rate);
     });
     std::vector<Job*> out;
     out.reserve(waiting.size());
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -51,7 +51,7 @@
     Room room{host.image_wait(ask.image, job.spec.image_gb), host.zone, {}};
     for (const auto& [lost, key] : preemptible_on(job, machine, already_stopped, now)) {
         if (plan.would_take(host, ask, hosts)) break;
-        placement::give(host.free, state_.jobs.find(key.first)->spec.need);
+        placement::add_resources(host.free, state_.jobs.find(key.first)->spec.need);
         --host.load;
         room.loss += lost;
         room.victims.push_back(key);
@@ -94,7 +94,7 @@
         auto& other = *state_.jobs.find(uid);
         if (other.spec.team != job.spec.team && other.priority >= job.priority) {
             auto& amount = stopping[other.spec.team];
-            if (!state_.quota.may_stop(other.spec.team, amount, other.spec.need)) continue;
+            if (!state_.quota.may_preempt(other.spec.team, amount, other.spec.need)) continue;
             add(amount, other.spec.need);
         }
         auto& task = other.tasks[i];
@@ -130,8 +130,8 @@
     const auto& ask = demand_.ask_of(job);
     std::vector<Room> rooms;
     for (const auto& [name, machine] : state_.inventory.all()) {
-        if (machine->tasks.empty() || !fleet_.usable(*machine, now) || !machine->current) continue;
-        if (!ask.takes(machine->row.pool)) continue;
+        if (machine->tasks.empty() || !fleet_.usable(*machine, now) || !machine->has_current_term) continue;
+        if (!ask.allows(machine->row.pool)) continue;
         // One task of the job more on that machine with every turn, for as long as that costs anything.
         auto host = machine->row;
         std::vector<TaskKey> stopped;
@@ -139,7 +139,7 @@
             auto room = room_on(job, *machine, host, plan, hosts, stopped, now);
             if (room.victims.empty()) break;
             stopped.insert(stopped.end(), room.victims.begin(), room.victims.end());
-            placement::take(host.free, job.spec.need);
+            placement::subtract_resources(host.free, job.spec.need);
             ++host.load;
             rooms.push_back(std::move(room));
         }
@@ -170,7 +170,7 @@
                                                std::uint32_t tasks, TimePoint now) {
     if (job.priority != Priority::critical || !job.is(JobKind::service) || tasks == 0) return 0;
     const auto& ask = demand_.ask_of(job);
-    const auto at = plan.peek(ask, hosts);
+    const auto at = plan.best_host(ask, hosts);
     if (at == Planner::none) return 0;
     const auto wait = plan.host(at).image_wait(ask.image, job.spec.image_gb);
     const Seconds until_free = state_.settings.heartbeat_interval * 1.25 + Seconds(3);
@@ -179,8 +179,8 @@
     if (job.room_made_by != TimePoint{} && now < job.room_made_by + room_again) return 0;
     std::vector<Room> rooms;
     for (const auto& [name, machine] : state_.inventory.all()) {
-        if (!machine->row.has(ask.image) || !fleet_.usable(*machine, now) || !machine->current) continue;
-        if (!ask.takes(machine->row.pool)) continue;
+        if (!machine->row.has(ask.image) || !fleet_.usable(*machine, now) || !machine->has_current_term) continue;
+        if (!ask.allows(machine->row.pool)) continue;
         auto host = machine->row;
         auto room = room_on(job, *machine, host, plan, hosts, {}, now);
         if (!room.victims.empty() && (room.loss + until_free) * worth_loss < wait) rooms.push_back(std::move(room));
--- a/src/scheduler/record_loader.cpp
+++ b/src/scheduler/record_loader.cpp
@@ -28,7 +28,7 @@
         } catch (const std::exception& e) {
             spdlog::error("event=record_unreadable job={} why=\"{}\"", uid, e.what());
             // Where its tasks are is not known, so none of them may be started.
-            if (const auto* job = state_.jobs.find(uid)) state_.quota.over(job->spec);
+            if (const auto* job = state_.jobs.find(uid)) state_.quota.job_closed(job->spec);
             state_.jobs.erase(uid);
         }
     }
--- a/src/scheduler/relocation.cpp
+++ b/src/scheduler/relocation.cpp
@@ -64,7 +64,7 @@
     if (here.has(ask.image)) return;
     const Seconds left = here.image_wait(ask.image, job.spec.image_gb) * slow_fetch - (now - t.placed_at);
     if (left < state_.settings.heartbeat_interval * worth_intervals) return;
-    const auto at = plan.peek(ask, demand_.hosts_without(job, task));
+    const auto at = plan.best_host(ask, demand_.hosts_without(job, task));
     if (at == placement::Planner::none || !plan.host(at).has(ask.image)) return;
     plan.reserve(at, ask);
     start(job, task, plan.host(at).slot, now);
--- a/src/scheduler/run_commands.cpp
+++ b/src/scheduler/run_commands.cpp
@@ -12,7 +12,8 @@
 }
 
 bool RunCommands::is_latest(const Machine& machine, const model::Heartbeat& heartbeat) {
-    return machine.current && machine.incarnation == heartbeat.incarnation && machine.sequence == heartbeat.sequence;
+    return machine.has_current_term && machine.incarnation == heartbeat.incarnation &&
+           machine.sequence == heartbeat.sequence;
 }
 
 bool RunCommands::any_pending(const Machine& machine) const {
--- a/src/scheduler/scale_in.cpp
+++ b/src/scheduler/scale_in.cpp
@@ -85,7 +85,7 @@
 bool ScaleIn::idle(const Machine& machine, TimePoint now) const {
     if (!machine.tasks.empty() || machine.reported_tasks != 0) return false;
     if (Seconds(now - machine.last_report) >= state_.settings.heartbeat_interval * lately_intervals) return false;
-    if (machine.quarantined || machine.retiring || machine.cordoned) return true;
+    if (machine.quarantined || machine.draining || machine.cordoned) return true;
     const Seconds idle_for = now - machine.idle_since;
     return idle_for > machine.replacement_time(boot_time(machine)) * state_.operator_settings.idle_timeout_factor;
 }
--- a/src/scheduler/scale_out.cpp
+++ b/src/scheduler/scale_out.cpp
@@ -92,7 +92,7 @@
         const auto lacking = room < tasks ? static_cast<std::uint32_t>(tasks - room) : 1;
         const auto pool = cheapest(job, hosts_there, lacking, round);
         if (!pool) return;
-        room += placement::slots(job.spec.need, round.plan.host(add_machine(round, *pool)).free);
+        room += placement::task_slots(job.spec.need, round.plan.host(add_machine(round, *pool)).free);
         if (room >= tasks && !round.plan.place_together(ask, hosts, tasks, zone).empty()) return;
     }
 }
@@ -111,7 +111,7 @@
     std::optional<fleet::Pool> pool;
     if (job.is(JobKind::service)) pool = cheapest(job, hosts, std::max(count, alike), round);
     if (pool) {
-        const auto slots = placement::slots(job.spec.need, state_.inventory.type(pool->type)->capacity);
+        const auto slots = placement::task_slots(job.spec.need, state_.inventory.type(pool->type)->capacity);
         planned(round.plan.place_many(demand_.ask_for_slots(job, slots), hosts, count).size());
     } else {
         planned(round.plan.place_many(ask, hosts, count).size());
@@ -132,10 +132,10 @@
     Offer best;
     for (const auto& type : state_.inventory.types()) {
         if (!placement::fits(job.spec.need, type.capacity)) continue;
-        const auto slots = placement::slots(job.spec.need, type.capacity);
+        const auto slots = placement::task_slots(job.spec.need, type.capacity);
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false})
-                if (ask.takes(directory.pool(type.name, zone, spot)))
+                if (ask.allows(directory.pool(type.name, zone, spot)))
                     compare({job, hosts, count, type, slots}, {type.name, zone, spot}, round, best);
     }
     if (!best.pool) return std::nullopt;
@@ -155,7 +155,7 @@
     const double used = std::min(slots, std::max(1u, count));
     const double price = (pool.spot ? type.spot_price : type.price) / std::max(1.0, used);
     if (best.cheapest_slot == 0 || price < best.cheapest_slot) best.cheapest_slot = price;
-    if (!state_.inventory.open(pool, round.now)) return;
+    if (!state_.inventory.may_launch(pool, round.now)) return;
     const auto zone = state_.inventory.directory().zone(pool.zone);
     if (zone < round.quiet_zones.size() && round.quiet_zones[zone]) return;
     if (!suits_zone(job, hosts, zone)) return;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -50,9 +50,9 @@
 }
 
 void Scheduler::machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
-    state_.inventory.granted(pool);
+    state_.inventory.launch_granted(pool);
     for (const auto& name : machines)
-        if (!state_.inventory.gone(name)) state_.inventory.add(name, pool.type, pool.zone, pool.spot, now);
+        if (!state_.inventory.confirmed_gone(name)) state_.inventory.add(name, pool.type, pool.zone, pool.spot, now);
 }
 
 void Scheduler::machines_released(const std::vector<std::string>& machines, TimePoint now) {
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -78,7 +78,7 @@
         fleet_.machines_listed(machines, now);
     }
     void machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now);
-    void launch_refused(const fleet::Pool& pool, TimePoint now) { state_.inventory.refused(pool, now); }
+    void launch_refused(const fleet::Pool& pool, TimePoint now) { state_.inventory.launch_refused(pool, now); }
     void machines_released(const std::vector<std::string>& machines, TimePoint now);
 
     // --- decisions ---
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -56,7 +56,7 @@
         out.waste += waste;
         out.replacement += machine->replacement_time(type->boot);
         // Services do not end by themselves.
-        if (machine->row.standing.cpus <= 0) candidates.push_back({waste, price, machine.get()});
+        if (machine->row.held_by_services.cpus <= 0) candidates.push_back({waste, price, machine.get()});
     }
     if (out.machines) out.replacement /= static_cast<double>(out.machines);
     return out;
--- a/src/scheduler/summary.cpp
+++ b/src/scheduler/summary.cpp
@@ -24,7 +24,7 @@
 void add_machine(PoolLine& line, const Machine& machine, bool usable, const JobTable& jobs) {
     ++(!machine.reported ? line.booting : usable ? line.up : line.unusable);
     line.empty += machine.reported && machine.tasks.empty();
-    if (machine.reported) placement::give(line.free, machine.row.free);
+    if (machine.reported) placement::add_resources(line.free, machine.row.free);
     for (const auto& [uid, i] : machine.tasks)
         if (const auto* job = jobs.find(uid)) ++line.tasks_by_kind[static_cast<std::size_t>(job->spec.kind)];
 }
--- a/src/scheduler/task_transitions.cpp
+++ b/src/scheduler/task_transitions.cpp
@@ -34,14 +34,14 @@
     state_.inventory.assign(machine, {job.spec.uid, task}, job.spec, job.priority);
     spdlog::debug("event=task_placed task={}/{} class={} attempt={} machine={}", job.spec.uid, task, job.spec.job_class,
                   attempt, machine.name);
-    state_.quota.placed(job.spec.team, job.spec.need);
+    state_.quota.task_placed(job.spec.team, job.spec.need);
 }
 
 void TaskTransitions::leave(Job& job, std::uint32_t task, State next, TimePoint now) {
     auto& t = job.tasks[task];
     if (t.state == State::placed) {
         state_.inventory.unassign(*t.machine, {job.spec.uid, task}, job.spec, now);
-        state_.quota.gone(job.spec.team, job.spec.need);
+        state_.quota.task_gone(job.spec.team, job.spec.need);
         --job.placed;
         if (job.is(model::JobKind::array)) --state_.placed_array_tasks[static_cast<std::size_t>(job.spec.priority)];
         if (t.started) --job.running;
--- a/src/simulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -45,7 +45,7 @@
     job.on.emplace(task.second, place);
     job.ever.insert(task.second);
     auto& use = use_[spec.team];
-    placement::give(use, spec.need);
+    placement::add_resources(use, spec.need);
     if (const auto* team = settings_.team(spec.team))
         if ((team->cpus_limit > 0 && use.cpus > team->cpus_limit + 1e-6) ||
             (team->gpus_limit > 0 && use.gpus > team->gpus_limit + 1e-6)) {
@@ -62,7 +62,7 @@
     const auto it = job.on.find(task.second);
     if (it == job.on.end() || it->second.machine != machine) return;
     job.on.erase(it);
-    placement::take(use_[job.spec.team], job.spec.need);
+    placement::subtract_resources(use_[job.spec.team], job.spec.need);
     if (job.final_status == "aborted") longest_gone_ = std::max(longest_gone_, Seconds(events_.now() - job.told_at));
 }
 
--- a/src/simulator/free_room.cpp
+++ b/src/simulator/free_room.cpp
@@ -16,7 +16,7 @@
     for (const auto& [name, machine] : machines) {
         const bool connected = machine->reachable(now) && now >= machine->heartbeats_lost_until;
         if (!connected || !may_use(spec, *machine)) continue;
-        if (const auto slots = placement::slots(spec.need, machine->free())) out[name] = slots;
+        if (const auto slots = placement::task_slots(spec.need, machine->free())) out[name] = slots;
     }
     return out;
 }
--- a/src/simulator/machine.hpp
+++ b/src/simulator/machine.hpp
@@ -49,7 +49,7 @@
     // Resources that no task uses.
     placement::Resources free() const {
         auto out = type->capacity;
-        placement::take(out, used);
+        placement::subtract_resources(out, used);
         return out;
     }
 };
--- a/src/simulator/task_runner.cpp
+++ b/src/simulator/task_runner.cpp
@@ -42,7 +42,7 @@
     machine->tasks[name] = {attempt, refused ? TaskStatus::exited : TaskStatus::fetching, exit_reason, run_id};
     if (refused) return;
     const auto& spec = jobs_[name.first].spec;
-    placement::give(machine->used, spec.need);
+    placement::add_resources(machine->used, spec.need);
     const bool cached = machine->images.contains(spec.image);
     const Seconds fetch = cached ? cached_image_start
                                  : Seconds(spec.image_gb / machine->type->fetch_gb_per_s * events_.uniform(0.8, 1.3));
@@ -153,7 +153,7 @@
     auto& job = jobs_[name.first];
     task.status = TaskStatus::exited;
     task.exit_reason = exit_reason;
-    placement::take(machine->used, job.spec.need);
+    placement::subtract_resources(machine->used, job.spec.need);
     if (on_machine) observer_.leaves(name, machine->name);
     if (exit_reason == ExitReason::stopped && on_machine && job.spec.kind != JobKind::service)
         stats_.stopped[name] = events_.now();
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -183,14 +183,14 @@
     m2.finish("run-1", 0, ExitReason::done);
     w.heartbeat(m2);
     w.commit();
-    const auto notes = w.leader->inventory().notes();
+    const auto notes = w.leader->inventory().hints();
     ASSERT_EQ(notes.size(), 1u);
     EXPECT_EQ(notes[0].name, "n-000002");
     for (const bool with_hints : {false, true}) {
         w.elect();
         for (auto* m : {&m1, &m2})
             for (int i = 0; i < 2; ++i) w.heartbeat(*m);
-        if (with_hints) w.leader->inventory().recall(notes);
+        if (with_hints) w.leader->inventory().apply_hints(notes);
         auto next = first;
         next.uid = with_hints ? "run-3" : "run-2";
         w.accept(next);
@@ -206,13 +206,13 @@
 TEST(MachineHintsTest, HintsOnUnknownMachinesAreKeptAndOwnObservationsTakePrecedence) {
     fleet::MachineInventory inventory;
     inventory.set_types(types());
-    inventory.recall({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
+    inventory.apply_hints({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
     EXPECT_EQ(inventory.find("n-000001"), nullptr) << "a note is no machine";
     auto& m = inventory.add("n-000001", "small", "a", false, TimePoint{1s});
     EXPECT_TRUE(m.quarantined);
     ASSERT_EQ(m.images.size(), 2u);
     inventory.remove("n-000001");
-    inventory.recall({{"n-000001", {}, true}});
+    inventory.apply_hints({{"n-000001", {}, true}});
     EXPECT_EQ(inventory.find("n-000001"), nullptr);
 }
 
@@ -270,8 +270,8 @@
     w.elect();
     w.heartbeat(m1);
     EXPECT_EQ(w.leader->job("run-1")->members_at_barrier, 1u);
-    ASSERT_EQ(w.leader->inventory().notes().size(), 1u);
-    EXPECT_EQ(w.leader->inventory().notes()[0].name, "n-000001");
+    ASSERT_EQ(w.leader->inventory().hints().size(), 1u);
+    EXPECT_EQ(w.leader->inventory().hints()[0].name, "n-000001");
 }
 
 TEST_F(FollowerLeasesTest, WorkerThatTheLeaderDidNotAnswerKeepsItsLease) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -43,10 +43,10 @@
 
 struct Asked {
     explicit Asked(JobSpec s, const Rules& rules = {}) : spec(std::move(s)) {
-        ask = make_ask(spec, rules, directory());
+        requirements = make_requirements(spec, rules, directory());
     }
     JobSpec spec;
-    Ask ask;
+    Requirements requirements;
 };
 
 constexpr Id none = Planner::no_slot;
@@ -55,7 +55,7 @@
     const Asked a(s);
     std::vector<Id> out;
     for (int i = 0; i < n; ++i) {
-        const auto at = p.place(a.ask, job);
+        const auto at = p.place(a.requirements, job);
         out.push_back(at == Planner::none ? none : p.host(at).slot);
     }
     return out;
@@ -117,19 +117,19 @@
 TEST(PlacementTest, MemoryMarginProtectsTightMachinesButNotEmptyOnes) {
     Planner tight({host(1, 4, 10.5, 1)}, 0.1);
     JobHosts job;
-    EXPECT_EQ(tight.place(Asked(spec(1, 10)).ask, job), Planner::none);
+    EXPECT_EQ(tight.place(Asked(spec(1, 10)).requirements, job), Planner::none);
     Planner roomy({host(1, 4, 11, 1)}, 0.1);
-    EXPECT_EQ(roomy.place(Asked(spec(1, 10)).ask, job), 0u);
+    EXPECT_EQ(roomy.place(Asked(spec(1, 10)).requirements, job), 0u);
     Planner empty({host(1, 4, 10, 0)}, 0.1);
     JobHosts fresh;
-    EXPECT_EQ(empty.place(Asked(spec(1, 10)).ask, fresh), 0u);
+    EXPECT_EQ(empty.place(Asked(spec(1, 10)).requirements, fresh), 0u);
 }
 
 TEST(PlacementTest, GpuTasksWaitForGpuMachines) {
     Planner p({host(1, 0, 90, 0)}, 0.1);
     JobHosts job;
-    EXPECT_EQ(p.place(Asked(spec(1, 10)).ask, job), Planner::none);
-    EXPECT_EQ(p.place(Asked(spec(0, 10)).ask, job), 0u);
+    EXPECT_EQ(p.place(Asked(spec(1, 10)).requirements, job), Planner::none);
+    EXPECT_EQ(p.place(Asked(spec(0, 10)).requirements, job), 0u);
 }
 
 // Idle tasks of a guest that took the processors of the least loaded machines left 2,600 accelerators idle.
@@ -147,17 +147,17 @@
     auto s = spec(1, 10);
     JobHosts job;
     s.job_class = "training";
-    EXPECT_EQ(p.place(Asked(s, rules).ask, job), Planner::none);
+    EXPECT_EQ(p.place(Asked(s, rules).requirements, job), Planner::none);
     s.job_class = "serving";
-    EXPECT_EQ(p.place(Asked(s, rules).ask, job), 0u);
+    EXPECT_EQ(p.place(Asked(s, rules).requirements, job), 0u);
 }
 
 TEST(PlacementTest, GangIsPlacedWholeOrNotAtAllAndThenTakesNoRoom) {
     Planner p({host(1, 2, 90, 0), host(2, 2, 90, 0)}, 0.1);
     auto s = spec(2, 50);
     JobHosts job;
-    EXPECT_TRUE(p.place_together(Asked(s).ask, job, 3).empty());
-    EXPECT_EQ(p.place_together(Asked(s).ask, job, 2), (std::vector<std::size_t>{0, 1}));
+    EXPECT_TRUE(p.place_together(Asked(s).requirements, job, 3).empty());
+    EXPECT_EQ(p.place_together(Asked(s).requirements, job, 2), (std::vector<std::size_t>{0, 1}));
 }
 
 TEST(PlacementTest, OneZoneGangFindsTheZoneWithRoomForAll) {
@@ -165,7 +165,7 @@
     auto s = spec(2, 50);
     s.one_zone = true;
     JobHosts job;
-    EXPECT_EQ(p.place_together(Asked(s).ask, job, 2), (std::vector<std::size_t>{1, 2}));
+    EXPECT_EQ(p.place_together(Asked(s).requirements, job, 2), (std::vector<std::size_t>{1, 2}));
 }
 
 TEST(PlacementTest, OneZoneGangPrefersTheZoneThatHasTheImageSoonest) {
@@ -176,7 +176,7 @@
     auto s = spec(2, 50);
     s.one_zone = true;
     JobHosts job;
-    EXPECT_EQ(p.place_together(Asked(s).ask, job, 2), (std::vector<std::size_t>{2, 3}));
+    EXPECT_EQ(p.place_together(Asked(s).requirements, job, 2), (std::vector<std::size_t>{2, 3}));
     EXPECT_EQ(job.in_zone(directory().zone("b")), 2u);
 }
 
@@ -231,11 +231,11 @@
         Planner scanned(hosts, 0.1), ordered(hosts, 0.1);
         std::vector<std::size_t> expected;
         for (unsigned k = 0; k < s.tasks; ++k) {
-            const auto at = scanned.place(a.ask, one);
+            const auto at = scanned.place(a.requirements, one);
             if (at == Planner::none) break;
             expected.push_back(at);
         }
-        EXPECT_EQ(ordered.place_many(a.ask, all, s.tasks), expected) << "round " << round;
+        EXPECT_EQ(ordered.place_many(a.requirements, all, s.tasks), expected) << "round " << round;
         placed += !expected.empty();
         partly += !expected.empty() && expected.size() < s.tasks;
     }
@@ -249,11 +249,11 @@
     {
         Planner::Trial trial(p);
         JobHosts job;
-        EXPECT_EQ(p.place_many(a.ask, job, 3).size(), 2u);
-        EXPECT_EQ(p.peek(a.ask, job), Planner::none);
+        EXPECT_EQ(p.place_many(a.requirements, job, 3).size(), 2u);
+        EXPECT_EQ(p.best_host(a.requirements, job), Planner::none);
     }
     JobHosts job;
-    EXPECT_EQ(p.place_many(a.ask, job, 3), (std::vector<std::size_t>{0, 1}));
+    EXPECT_EQ(p.place_many(a.requirements, job, 3), (std::vector<std::size_t>{0, 1}));
 }
 
 TEST(PlacementTest, TaskInAnUnknownZoneCountsInEveryZoneOfASpreadJob) {
@@ -263,20 +263,20 @@
     s.tasks = 4;
     JobHosts job;
     job.add_to_zone(unknown_zone);
-    EXPECT_EQ(p.place_many(Asked(s).ask, job, 3).size(), 2u);
+    EXPECT_EQ(p.place_many(Asked(s).requirements, job, 3).size(), 2u);
     EXPECT_EQ(job.in_zone(directory().zone("a")), 1u);
 }
 
 TEST(QueueOrderTest, PriorityThenWindowThenShortestLessAging) {
     const auto w = [](model::Priority priority, std::int64_t window, double length, double waited, const char* uid) {
-        return Waiting{priority, window, Seconds(length), Seconds(waited), uid};
+        return QueueEntry{priority, window, Seconds(length), Seconds(waited), uid};
     };
     using model::Priority;
-    EXPECT_TRUE(before(w(Priority::critical, 9, 900, 0, "a"), w(Priority::normal, 1, 1, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Priority::normal, 1, 900, 0, "a"), w(Priority::normal, 2, 1, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Priority::normal, 1, 10, 0, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
-    EXPECT_TRUE(before(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
-    EXPECT_FALSE(before(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 0));
+    EXPECT_TRUE(precedes(w(Priority::critical, 9, 900, 0, "a"), w(Priority::normal, 1, 1, 0, "b"), 1));
+    EXPECT_TRUE(precedes(w(Priority::normal, 1, 900, 0, "a"), w(Priority::normal, 2, 1, 0, "b"), 1));
+    EXPECT_TRUE(precedes(w(Priority::normal, 1, 10, 0, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
+    EXPECT_TRUE(precedes(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 1));
+    EXPECT_FALSE(precedes(w(Priority::normal, 1, 30, 25, "a"), w(Priority::normal, 1, 20, 0, "b"), 0));
 }
 
 }  // namespace flintdale::test
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -14,9 +14,9 @@
 
 using model::JobKind;
 using quota::Amount;
-using quota::Figures;
 using quota::QuotaAccounting;
 using quota::Table;
+using quota::TeamQuota;
 
 model::JobSpec of_team(const std::string& uid, const std::string& team, std::uint32_t tasks, std::int64_t accepted) {
     auto s = job(uid, JobKind::array, tasks);
@@ -42,12 +42,12 @@
     QuotaAccounting l(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
     const model::Resources need{4, 1, 10};
     EXPECT_EQ(l.room("red", need, 100), 2u) << "CPUs bind first";
-    l.placed("red", need);
+    l.task_placed("red", need);
     EXPECT_EQ(l.room("red", need, 100), 1u);
     EXPECT_EQ(l.room("red", {0, 1, 1}, 100), 2u);
     EXPECT_EQ(l.room("blue", need, 100), 100u);
     EXPECT_EQ(l.room("green", need, 100), 0u);
-    l.gone("red", need);
+    l.task_gone("red", need);
     EXPECT_EQ(l.use("red"), Amount{});
 }
 
@@ -60,11 +60,11 @@
         const std::string who = luck() % 2 ? "red" : "blue";
         const model::Resources need{0.1 * (1 + luck() % 40), 1.0 * (luck() % 3), 1};
         if (luck() % 5 < 3 && l.room(who, need, 1) == 1) {
-            l.placed(who, need);
+            l.task_placed(who, need);
             placed.emplace_back(who, need);
         } else if (!placed.empty()) {
             const auto at = luck() % placed.size();
-            l.gone(placed[at].first, placed[at].second);
+            l.task_gone(placed[at].first, placed[at].second);
             placed.erase(placed.begin() + static_cast<std::ptrdiff_t>(at));
         }
         for (const auto& [name, f] : l.table()) {
@@ -83,31 +83,31 @@
 
 TEST(QuotaTest, JobIsGuaranteedIfItFitsBesideItsTeamsEarlierJobs) {
     QuotaAccounting l(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
-    l.opened(of_team("run-2", "red", 2, 20));
-    l.opened(of_team("run-1", "red", 1, 10));
-    l.opened(of_team("run-3", "red", 3, 30));
-    l.opened(of_team("run-4", "red", 1, 40));
-    l.opened(of_team("run-5", "blue", 1, 5));
+    l.job_opened(of_team("run-2", "red", 2, 20));
+    l.job_opened(of_team("run-1", "red", 1, 10));
+    l.job_opened(of_team("run-3", "red", 3, 30));
+    l.job_opened(of_team("run-4", "red", 1, 40));
+    l.job_opened(of_team("run-5", "blue", 1, 5));
     EXPECT_TRUE(l.guaranteed("red", "run-1"));
     EXPECT_TRUE(l.guaranteed("red", "run-2"));
     EXPECT_FALSE(l.guaranteed("red", "run-3"));
     EXPECT_FALSE(l.guaranteed("red", "run-4")) << "it would fit, but for the one before it";
     EXPECT_FALSE(l.guaranteed("blue", "run-5"));
     EXPECT_TRUE(l.below_guarantee("red"));
-    l.over(of_team("run-2", "red", 2, 20));
+    l.job_closed(of_team("run-2", "red", 2, 20));
     EXPECT_TRUE(l.guaranteed("red", "run-3"));
     EXPECT_FALSE(l.guaranteed("red", "run-4"));
-    for (int i = 0; i < 4; ++i) l.placed("red", {4, 1, 10});
+    for (int i = 0; i < 4; ++i) l.task_placed("red", {4, 1, 10});
     EXPECT_FALSE(l.below_guarantee("red"));
 }
 
 TEST(QuotaTest, NoTeamIsPreemptedBelowItsOwnGuarantee) {
     QuotaAccounting l(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
-    for (int i = 0; i < 3; ++i) l.placed("blue", {4, 1, 10});
-    EXPECT_TRUE(l.may_stop("blue", {}, {4, 1, 10}));
-    EXPECT_FALSE(l.may_stop("blue", {4, 1}, {4, 1, 10}));
-    l.placed("red", {4, 1, 10});
-    EXPECT_TRUE(l.may_stop("red", {}, {4, 1, 10}));
+    for (int i = 0; i < 3; ++i) l.task_placed("blue", {4, 1, 10});
+    EXPECT_TRUE(l.may_preempt("blue", {}, {4, 1, 10}));
+    EXPECT_FALSE(l.may_preempt("blue", {4, 1}, {4, 1, 10}));
+    l.task_placed("red", {4, 1, 10});
+    EXPECT_TRUE(l.may_preempt("red", {}, {4, 1, 10}));
 }
 
 TEST(QuotaTest, StrictestFigureHoldsWhileTablesDiffer) {
--- a/tests/scheduler_scaling_test.cpp
+++ b/tests/scheduler_scaling_test.cpp
@@ -32,7 +32,7 @@
         workers.push_back(machine("n-00010" + std::string(1, static_cast<char>('a' + i)), "a"));
     const auto all_report = [&] {
         for (auto& w : workers)
-            if (!leader->inventory().gone(w.name)) heartbeat(w);
+            if (!leader->inventory().confirmed_gone(w.name)) heartbeat(w);
     };
     all_report();
     leader->relocate(now);
