--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -10,7 +10,7 @@
 constexpr std::chrono::seconds first_pause{4};  // doubled with every refusal, the first included
 }  // namespace
 
-void Machine::used_image(const Image& image, double cache_gb) {
+void Machine::record_image_use(const Image& image, double cache_gb) {
     std::erase_if(images, [&](const Image& e) { return e.id == image.id; });
     images.push_back(image);
     double cached_gb = 0;
@@ -28,7 +28,7 @@
     return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? cached_gb / row.fetch_gb_per_s : 0));
 }
 
-double Machine::in_use() const {
+double Machine::utilization() const {
     const auto share = [](double free, double capacity) { return capacity > 0 ? 1 - free / capacity : 0; };
     return std::max({share(row.free.cpus, row.capacity.cpus), share(row.free.gpus, row.capacity.gpus),
                      share(row.free.memory_gb, row.capacity.memory_gb)});
@@ -52,7 +52,7 @@
         for (const auto& zone : t.zones)
             for (const bool spot : {true, false}) directory_.pool(t.name, zone, spot);
     for (auto& [name, m] : machines_)
-        if (m->row.capacity.cpus == 0) describe(*m, m->type, m->zone, m->spot);
+        if (m->row.capacity.cpus == 0) set_pool(*m, m->type, m->zone, m->spot);
 }
 
 const model::MachineType* MachineInventory::type(const std::string& name) const {
@@ -77,16 +77,16 @@
         slot->known_since = slot->last_report = slot->idle_since = now;
     }
     if (slot->type.empty() && !type.empty()) {
-        describe(*slot, type, zone, spot);
-        if (const auto it = recalled_.find(name); it != recalled_.end()) {
-            apply(it->second, *slot);
-            recalled_.erase(it);
+        set_pool(*slot, type, zone, spot);
+        if (const auto it = pending_hints_.find(name); it != pending_hints_.end()) {
+            apply_hint(it->second, *slot);
+            pending_hints_.erase(it);
         }
     }
     return *slot;
 }
 
-void MachineInventory::describe(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
+void MachineInventory::set_pool(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
     m.type = type_name;
     m.zone = zone;
     m.spot = spot;
@@ -116,12 +116,12 @@
     m.update_row();
 }
 
-void MachineInventory::has_image(Machine& m, const TaskKey& task, const model::JobSpec& spec) {
-    if (m.fetching.erase(task)) used_image(m, spec);
+void MachineInventory::image_ready(Machine& m, const TaskKey& task, const model::JobSpec& spec) {
+    if (m.fetching.erase(task)) record_image_use(m, spec);
 }
 
-void MachineInventory::used_image(Machine& m, const model::JobSpec& spec) {
-    m.used_image({directory_.image(spec.image), spec.image_gb}, cache_gb(m));
+void MachineInventory::record_image_use(Machine& m, const model::JobSpec& spec) {
+    m.record_image_use({directory_.image(spec.image), spec.image_gb}, cache_gb(m));
 }
 
 double MachineInventory::cache_gb(const Machine& m) const {
@@ -134,7 +134,7 @@
     if (m.fetching.erase(task))
         m.update_row();
     else
-        used_image(m, spec);
+        record_image_use(m, spec);
     placement::add_resources(m.row.free, spec.need);
     --m.row.load;
     if (spec.kind == model::JobKind::service) placement::subtract_resources(m.row.held_by_services, spec.need);
@@ -157,17 +157,17 @@
         if (confirmed_gone(note.name)) continue;
         // The size of a machine's cache is known once its type is.
         if (auto* m = find(note.name); m && !m->type.empty())
-            apply(note, *m);
+            apply_hint(note, *m);
         else
-            recalled_[note.name] = std::move(note);
+            pending_hints_[note.name] = std::move(note);
     }
 }
 
 // What this leader knows itself is newer than the hint: its images count as used later.
-void MachineInventory::apply(const wire::MachineHint& note, Machine& m) {
+void MachineInventory::apply_hint(const wire::MachineHint& note, Machine& m) {
     const auto known = std::exchange(m.images, {});
-    for (const auto& image : note.images) m.used_image({directory_.image(image.name), image.gb}, cache_gb(m));
-    for (const auto& image : known) m.used_image(image, cache_gb(m));
+    for (const auto& image : note.images) m.record_image_use({directory_.image(image.name), image.gb}, cache_gb(m));
+    for (const auto& image : known) m.record_image_use(image, cache_gb(m));
     m.quarantined = m.quarantined || note.quarantined;
 }
 
--- a/src/fleet/machine_inventory.hpp
+++ b/src/fleet/machine_inventory.hpp
@@ -37,7 +37,7 @@
     std::optional<TimePoint> terminates_at;  // from a spot notice
 
     bool listed_failed = false;
-    TimePoint starting_at{};   // when a list that showed it booting last came
+    TimePoint listed_booting_at{};  // when a list that showed it booting last came
     bool unlisted = false;     // old enough to be listed, but missing from the newest list: no evidence that it is gone
     bool releasing = false;    // a release was sent, which may be carried out at any time: never used again
     bool draining = false;     // its tasks are moved away, and then it is returned
@@ -60,11 +60,11 @@
     };
     std::map<TaskKey, Fetch> fetching;  // tasks that wait for their image here
 
-    void used_image(const Image& image, double cache_gb);
+    void record_image_use(const Image& image, double cache_gb);
     // How long it takes to replace it: a boot, or fetching its images where that takes longer.
     model::Seconds replacement_time(model::Seconds boot) const;
     // The share of it that is in use, by the resource that is used most.
-    double in_use() const;
+    double utilization() const;
     // Must be called after a change of its images or fetches.
     void update_row();
 };
@@ -94,7 +94,7 @@
     placement::Directory& directory() const { return directory_; }
     // The machine of that name, new if it was not known.
     Machine& add(const std::string& name, const std::string& type, const std::string& zone, bool spot, TimePoint now);
-    void describe(Machine& m, const std::string& type, const std::string& zone, bool spot);
+    void set_pool(Machine& m, const std::string& type, const std::string& zone, bool spot);
     // The cloud has confirmed that the machine is gone. Late heartbeats and lists do not add it again.
     void remove(const std::string& name);
     bool confirmed_gone(const std::string& name) const { return gone_.contains(name); }
@@ -104,7 +104,7 @@
 
     void assign(Machine& m, const TaskKey& task, const model::JobSpec& spec, model::Priority priority);
     // The task has its image now, which it fetched or shares with others.
-    void has_image(Machine& m, const TaskKey& task, const model::JobSpec& spec);
+    void image_ready(Machine& m, const TaskKey& task, const model::JobSpec& spec);
     void unassign(Machine& m, const TaskKey& task, const model::JobSpec& spec, TimePoint now);
 
     // Hints for a later leader: the machines that hold images or are quarantined, by name.
@@ -118,8 +118,8 @@
     bool may_launch(const Pool& pool, TimePoint now) const;
 
   private:
-    void used_image(Machine& m, const model::JobSpec& spec);
-    void apply(const wire::MachineHint& note, Machine& m);
+    void record_image_use(Machine& m, const model::JobSpec& spec);
+    void apply_hint(const wire::MachineHint& note, Machine& m);
     double cache_gb(const Machine& m) const;
     struct BackOff {
         TimePoint until{};
@@ -130,7 +130,7 @@
     mutable placement::Directory directory_;  // numbers names where they are first asked for
     std::vector<Machine*> by_slot_;           // never used again, so that a slot names one machine for good
     std::set<std::string> gone_;
-    std::map<std::string, wire::MachineHint> recalled_;  // of machines that are not known yet
+    std::map<std::string, wire::MachineHint> pending_hints_;  // of machines that are not known yet
     std::map<Pool, BackOff> back_off_;
 };
 
--- a/src/scheduler/fleet_view.cpp
+++ b/src/scheduler/fleet_view.cpp
@@ -105,7 +105,7 @@
         auto& machine = state_.inventory.add(listed.name, listed.type, listed.zone, listed.spot, now);
         if (is_new) machine.known_since = now - model::to_clock(listed.age);
         machine.listed_failed = listed.status == model::MachineStatus::failed;
-        if (listed.status == model::MachineStatus::booting) machine.starting_at = now;
+        if (listed.status == model::MachineStatus::booting) machine.listed_booting_at = now;
     }
     // A list may be twice as old as usual, and does not show machines that are younger than that.
     std::set<std::string_view> names;
@@ -128,7 +128,7 @@
 // this term had begun, so that no earlier leader's command can have reached it.
 bool FleetView::reconciled(const Machine& machine) const {
     return (machine.has_current_term && !with_unknown_tasks_.contains(machine.name)) ||
-           machine.starting_at - list_age() >= state_.term_began;
+           machine.listed_booting_at - list_age() >= state_.term_began;
 }
 
 bool FleetView::all_reconciled() const {
--- a/src/scheduler/heartbeat_reconciler.cpp
+++ b/src/scheduler/heartbeat_reconciler.cpp
@@ -115,7 +115,7 @@
     auto& task = job.tasks[i];
     task.reported = task.run_sent = true;
     if (report.status != TaskStatus::fetching) {
-        state_.inventory.has_image(machine, {job.spec.uid, i}, job.spec);
+        state_.inventory.image_ready(machine, {job.spec.uid, i}, job.spec);
         const bool runs = report.status == TaskStatus::running || report.status == TaskStatus::checkpointing;
         if (runs && !task.started) mark_started(job, i, machine, now);
         if (runs) job.gang_started = true;
@@ -155,7 +155,7 @@
         job.eligible_at = std::max(job.eligible_at, now + rejection_pause);
     } else if (report.exit_reason == ExitReason::gang_incomplete) {
         // It waited for the others, so it had its image; a leader that has just begun has not seen it wait.
-        state_.inventory.has_image(machine, {job.spec.uid, i}, job.spec);
+        state_.inventory.image_ready(machine, {job.spec.uid, i}, job.spec);
         if (!job.gang_started && !job.gang_failing && !job.cancelled && !machine.terminates_at &&
             !job.tasks[i].draining) {
             gangs_.wait(job, i, now);
@@ -167,7 +167,7 @@
 }
 
 void HeartbeatReconciler::completed(Job& job, Machine& machine, std::uint32_t task, TimePoint now) {
-    state_.inventory.has_image(machine, {job.spec.uid, task}, job.spec);
+    state_.inventory.image_ready(machine, {job.spec.uid, task}, job.spec);
     machine.failed_jobs.clear();
     if (!job.is(JobKind::gang)) {
         tasks_.complete(job, task, now);
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -46,7 +46,7 @@
     if (!machine || machine->releasing || !RunCommands::is_latest(*machine, heartbeat)) return Prospect::nothing;
     if (runs_.any_pending(*machine)) return Prospect::a_write;
     const bool unplanned = placement_.any_waiting() && passes == placement_.passes();
-    return unplanned && !machine->cordoned && machine->in_use() < 1 ? Prospect::a_plan : Prospect::nothing;
+    return unplanned && !machine->cordoned && machine->utilization() < 1 ? Prospect::a_plan : Prospect::nothing;
 }
 
 void Scheduler::machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -50,7 +50,7 @@
         const auto* type = state_.inventory.type(machine->type);
         if (!type || !fleet_.usable(*machine, now)) continue;
         const double price = machine->spot ? type->spot_price : type->price;
-        const double waste = price * (1 - machine->in_use());
+        const double waste = price * (1 - machine->utilization());
         ++out.machines;
         out.price += price;
         out.waste += waste;
