--- a/src/placement/directory.hpp
+++ b/src/placement/directory.hpp
@@ -1,4 +1,5 @@
-// Pools of machines, zones and images as small numbers: placement compares them for every machine it looks at.
+// Assigns small numeric ids to machine pools, zones and images. Placement compares ids instead of strings because it
+// does so for every machine that it examines. Ids are assigned in the order of first use and never change.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,23 +23,24 @@
     };
 
     Id image(const std::string& name) {
-        const auto [it, fresh] = images_.try_emplace(name, static_cast<Id>(images_.size()));
-        if (fresh) image_names_.push_back(&it->first);
+        const auto [it, is_new] = images_.try_emplace(name, static_cast<Id>(images_.size()));
+        if (is_new) image_names_.push_back(&it->first);
         return it->second;
     }
     const std::string& image_name(Id image) const { return *image_names_.at(image); }
-    Id zone(const std::string& name) { return number(zones_, name); }
+    Id zone(const std::string& name) { return id_of(zones_, name); }
 
     Id pool(const std::string& type, const std::string& zone_name, bool spot) {
-        const auto [it, fresh] = pool_ids_.try_emplace({type, zone_name, spot}, static_cast<Id>(pools_.size()));
-        if (fresh) pools_.push_back({type, zone_name, spot, zone(zone_name)});
+        const auto [it, is_new] = pool_ids_.try_emplace({type, zone_name, spot}, static_cast<Id>(pools_.size()));
+        if (is_new) pools_.push_back({type, zone_name, spot, zone(zone_name)});
         return it->second;
     }
+    // All pools; the index is the pool's id.
     const std::vector<Pool>& pools() const { return pools_; }
 
   private:
-    static Id number(std::map<std::string, Id>& names, const std::string& name) {
-        return names.try_emplace(name, static_cast<Id>(names.size())).first->second;
+    static Id id_of(std::map<std::string, Id>& ids, const std::string& name) {
+        return ids.try_emplace(name, static_cast<Id>(ids.size())).first->second;
     }
 
     std::map<std::string, Id> images_, zones_{{"", unknown_zone}};
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -6,20 +6,21 @@
 namespace flintdale::placement {
 
 namespace {
-constexpr Seconds image_step{5};  // waits for an image are compared in such steps
-constexpr double slack = 1e-6;    // amounts are decimal fractions; sums of them are not exact
+constexpr Seconds image_wait_step{5};  // waits for an image that differ by less count as equal
+constexpr double tolerance = 1e-6;     // of amounts: sums of decimal fractions are not exact in binary
 }  // namespace
 
 unsigned task_slots(const Resources& need, const Resources& capacity) {
-    double n = 1e6;
+    double n = 1e6;  // the result for a task that needs no resource
     if (need.cpus > 0) n = std::min(n, capacity.cpus / need.cpus);
     if (need.gpus > 0) n = std::min(n, capacity.gpus / need.gpus);
     if (need.memory_gb > 0) n = std::min(n, capacity.memory_gb / need.memory_gb);
-    return static_cast<unsigned>(n + slack);
+    return static_cast<unsigned>(n + tolerance);
 }
 
 bool fits(const Resources& need, const Resources& free) {
-    return need.cpus <= free.cpus + slack && need.gpus <= free.gpus + slack && need.memory_gb <= free.memory_gb + slack;
+    return need.cpus <= free.cpus + tolerance && need.gpus <= free.gpus + tolerance &&
+           need.memory_gb <= free.memory_gb + tolerance;
 }
 
 void subtract_resources(Resources& free, const Resources& need) {
@@ -35,12 +36,14 @@
 }
 
 bool allowed(const JobSpec& spec, const Rules& rules, const std::string& type, const std::string& zone, bool spot) {
-    const auto has = [&](const std::vector<std::string>& v) { return std::find(v.begin(), v.end(), type) != v.end(); };
+    const auto has_type = [&](const std::vector<std::string>& types) {
+        return std::find(types.begin(), types.end(), type) != types.end();
+    };
     if (spot && !spec.spot) return false;
-    if (spec.types && !has(*spec.types)) return false;
+    if (spec.types && !has_type(*spec.types)) return false;
     if (spec.zone && *spec.zone != zone) return false;
     const auto group = rules.groups.find(spec.job_class);
-    return group == rules.groups.end() || has(group->second);
+    return group == rules.groups.end() || has_type(group->second);
 }
 
 bool Host::has(Id image) const { return std::find(images.begin(), images.end(), image) != images.end(); }
@@ -51,9 +54,9 @@
 
 Seconds Host::image_wait(Id image, double gb) const {
     if (fetch_gb_per_s <= 0 || has(image)) return Seconds(0);
-    double queue = fetches(image) ? 0 : gb;
-    for (const auto& f : fetching) queue += f.gb;
-    return Seconds(queue / fetch_gb_per_s);
+    double queued_gb = fetches(image) ? 0 : gb;
+    for (const auto& f : fetching) queued_gb += f.gb;
+    return Seconds(queued_gb / fetch_gb_per_s);
 }
 
 bool JobHosts::anywhere() const {
@@ -68,55 +71,57 @@
     return requirements;
 }
 
-Planner::Planner(std::vector<Host> hosts, double memory_margin) : margin_(memory_margin) {
+Planner::Planner(std::vector<Host> hosts, double memory_margin) : memory_margin_(memory_margin) {
     hosts_.reserve(hosts.size());
     for (auto& h : hosts) add(std::move(h));
 }
 
 Planner::Trial::~Trial() {
     plan_.trial_ = nullptr;
-    // Backwards: the oldest copy of a row is the one to restore.
-    for (auto it = before_.rbegin(); it != before_.rend(); ++it) plan_.hosts_[it->first] = std::move(it->second);
+    // In reverse order, because the oldest copy of a row is the one to restore.
+    for (auto it = saved_rows_.rbegin(); it != saved_rows_.rend(); ++it)
+        plan_.hosts_[it->first] = std::move(it->second);
 }
 
 std::size_t Planner::add(Host host) {
-    const auto i = hosts_.size();
+    const auto row = hosts_.size();
     if (host.slot != no_slot) {
         if (host.slot >= by_slot_.size()) by_slot_.resize(host.slot + 1, none);
-        by_slot_[host.slot] = i;
+        by_slot_[host.slot] = row;
     }
-    with_gpus_.push_back(i);
-    with_cpus_.push_back(i);
+    with_gpus_.push_back(row);
+    with_cpus_.push_back(row);
     own_.push_back(0);
     excluded_.push_back(0);
     hosts_.push_back(std::move(host));
-    return i;
+    return row;
 }
 
 void Planner::remove(Id slot) {
-    const auto i = find(slot);
-    if (i == none) return;
-    // The row stays, so that the others keep their places, but nothing fits it.
+    const auto row = find(slot);
+    if (row == none) return;
+    // The row stays, so that the other rows keep their index. With negative resources no task fits it.
     by_slot_[slot] = none;
-    hosts_[i].capacity = hosts_[i].free = {-1, -1, -1};
+    hosts_[row].capacity = hosts_[row].free = {-1, -1, -1};
 }
 
-// Rows without room are dropped from the list during the scan, so that in a full fleet a scan costs as much as is free
-// and not as much as exists. In a plan room only shrinks, except in trials, and during a trial nothing is dropped.
+// Visits the rows that have free accelerators, or free CPUs for a task without accelerators. Drops rows without room
+// from the list during the scan, so that the cost of a scan in a full fleet is proportional to the machines with room,
+// not to all machines. Room only shrinks within a plan, except at the end of a trial; during a trial no row is dropped.
 template <class F>
-void Planner::each_roomy(const Resources& need, F visit) const {
-    if (need.gpus <= slack && need.cpus <= slack) {
-        for (std::size_t i = 0; i < hosts_.size(); ++i) visit(i);
+void Planner::for_each_with_room(const Resources& need, F visit) const {
+    if (need.gpus <= tolerance && need.cpus <= tolerance) {
+        for (std::size_t row = 0; row < hosts_.size(); ++row) visit(row);
         return;
     }
-    const bool gpus = need.gpus > slack;
+    const bool gpus = need.gpus > tolerance;
     auto& rows = gpus ? with_gpus_ : with_cpus_;
     std::size_t kept = 0;
-    for (const auto i : rows) {
-        const auto& free = hosts_[i].free;
-        const bool room = (gpus ? free.gpus : free.cpus) > slack;
-        if (room) visit(i);
-        if (room || trial_) rows[kept++] = i;
+    for (const auto row : rows) {
+        const auto& free = hosts_[row].free;
+        const bool room = (gpus ? free.gpus : free.cpus) > tolerance;
+        if (room) visit(row);
+        if (room || trial_) rows[kept++] = row;
     }
     rows.resize(kept);
 }
@@ -125,51 +130,58 @@
     const auto& spec = *requirements.spec;
     if (!requirements.allows(host.pool) || !fits(spec.need, host.free)) return false;
     if (host.reserved_for && requirements.priority <= *host.reserved_for) return false;
-    // The margin is for what else the machine holds. An empty machine needs none, or a task that fills a machine
-    // could never run.
-    if (host.load > 0 && host.free.memory_gb + slack < spec.need.memory_gb * (1 + margin_)) return false;
-    // Fetches share the machine's rate: one more would hold up the more important task that waits for its own.
+    // The memory margin protects the other tasks on the machine. It does not apply to an empty machine; otherwise a
+    // task that needs a whole machine could never run.
+    if (host.load > 0 && host.free.memory_gb + tolerance < spec.need.memory_gb * (1 + memory_margin_)) return false;
+    // Fetches share the machine's rate: a new fetch would delay a task of higher priority that waits for its image.
     if (requirements.priority < host.fetching_for && !host.fetching.empty() && !host.has(requirements.image) &&
         !host.fetches(requirements.image))
         return false;
     if (spec.one_zone)
         for (Id zone = 0; zone < job.per_zone.size(); ++zone)
             if (job.per_zone[zone] > 0 && zone != host.zone) return false;
-    // A task whose zone is not known yet may be in any of them.
+    // A task whose zone is not known yet may be in any zone, so it counts in each.
     return !spec.spread || job.in_zone(host.zone) + job.in_zone(unknown_zone) < (spec.tasks + 1) / 2;
 }
 
 void Planner::mark(const JobHosts& job) const {
-    ++epoch_;
+    ++mark_epoch_;
     for (const auto slot : job.own)
-        if (const auto i = find(slot); i != none) own_[i] = epoch_;
+        if (const auto row = find(slot); row != none) own_[row] = mark_epoch_;
     for (const auto slot : job.excluded)
-        if (const auto i = find(slot); i != none) excluded_[i] = epoch_;
+        if (const auto row = find(slot); row != none) excluded_[row] = mark_epoch_;
 }
 
-// Urgent tasks avoid spot machines: a chain of dependent jobs lost a minute with each task that had to start again. The
-// job's own machines come first, then, for tasks without accelerators, those that have the fewest free, then those that
-// have its image soonest (in coarse steps, so that load still counts), then spot ones, which not every job may use,
-// then the least loaded. Services stay for good, so they go to large machines and leave whole small ones to gangs.
-Planner::Score Planner::score(const Requirements& requirements, std::size_t i) const {
-    const auto& h = hosts_[i];
-    Score o;
-    o.risky = h.spot && requirements.priority >= model::Priority::high;
+// The order of preference:
+// 1. Urgent tasks avoid spot machines. A task that loses its machine starts again, and a chain of dependent jobs lost a
+//    minute with each such task.
+// 2. The job's own machines.
+// 3. For tasks without accelerators: the machines with the fewest free accelerators.
+// 4. The machines that have the image soonest, in coarse steps, so that load still counts.
+// 5. Spot machines, which not every job may use.
+// 6. For services: large machines, which leave whole small ones to gangs because services run until they are cancelled;
+//    then machines without a replica of the service.
+// 7. The least loaded machine.
+Planner::Score Planner::score(const Requirements& requirements, std::size_t row) const {
+    const auto& host = hosts_[row];
+    Score score;
+    score.risky = host.spot && requirements.priority >= model::Priority::high;
     const bool service = requirements.spec->kind == model::JobKind::service;
-    o.foreign = !service && own_[i] != epoch_;
-    o.shared = service && own_[i] == epoch_;
-    if (requirements.spec->need.gpus <= slack) o.idles = static_cast<int>(h.free.gpus + slack);
-    o.wait = static_cast<int>(h.image_wait(requirements.image, requirements.spec->image_gb) / image_step);
-    o.ordinary = !h.spot;
-    o.size = service ? -static_cast<int>(task_slots(requirements.spec->need, h.capacity)) : 0;
-    o.load = h.load;
-    o.at = i;
-    return o;
+    score.not_own = !service && own_[row] != mark_epoch_;
+    score.has_replica = service && own_[row] == mark_epoch_;
+    if (requirements.spec->need.gpus <= tolerance) score.idle_gpus = static_cast<int>(host.free.gpus + tolerance);
+    score.image_wait =
+        static_cast<int>(host.image_wait(requirements.image, requirements.spec->image_gb) / image_wait_step);
+    score.on_demand = !host.spot;
+    score.size = service ? -static_cast<int>(task_slots(requirements.spec->need, host.capacity)) : 0;
+    score.load = host.load;
+    score.row = row;
+    return score;
 }
 
-void Planner::put(std::size_t i, const Requirements& requirements, JobHosts& job) {
-    reserve(i, requirements);
-    auto& host = hosts_[i];
+void Planner::put(std::size_t row, const Requirements& requirements, JobHosts& job) {
+    reserve(row, requirements);
+    auto& host = hosts_[row];
     if (!host.has(requirements.image)) {
         if (!host.fetches(requirements.image))
             host.fetching.push_back({requirements.image, requirements.spec->image_gb});
@@ -177,17 +189,17 @@
     }
     job.add_to_zone(host.zone);
     job.own.push_back(host.slot);
-    own_[i] = epoch_;
+    own_[row] = mark_epoch_;
 }
 
 std::size_t Planner::best_host(const Requirements& requirements, const JobHosts& job) const {
     mark(job);
     std::optional<Score> best;
-    each_roomy(requirements.spec->need, [&](std::size_t i) {
-        if (excluded_[i] == epoch_ || !candidate(requirements, job, hosts_[i])) return;
-        if (const auto o = score(requirements, i); !best || o < *best) best = o;
+    for_each_with_room(requirements.spec->need, [&](std::size_t row) {
+        if (excluded_[row] == mark_epoch_ || !candidate(requirements, job, hosts_[row])) return;
+        if (const auto its_score = score(requirements, row); !best || its_score < *best) best = its_score;
     });
-    return best ? best->at : none;
+    return best ? best->row : none;
 }
 
 std::size_t Planner::place(const Requirements& requirements, JobHosts& job) {
@@ -196,58 +208,58 @@
     return best;
 }
 
-// All candidates are ordered once. Placing a task changes the score of its own machine alone, and otherwise only
-// removes candidates (by the job's zones), which is checked when their turn comes.
+// Orders all candidates once, in a heap. Placing a task changes the score of its own machine only. It can also rule out
+// other candidates, by the job's zones, so each candidate is checked again when it is taken from the heap.
 std::vector<std::size_t> Planner::place_many(const Requirements& requirements, JobHosts& job, std::size_t count,
                                              std::optional<Id> only_zone) {
-    std::vector<std::size_t> out;
-    if (count == 0) return out;
+    std::vector<std::size_t> placed;
+    if (count == 0) return placed;
     mark(job);
     std::vector<Score> heap;
-    each_roomy(requirements.spec->need, [&](std::size_t i) {
-        if (excluded_[i] == epoch_ || (only_zone && hosts_[i].zone != *only_zone) ||
-            !candidate(requirements, job, hosts_[i]))
+    for_each_with_room(requirements.spec->need, [&](std::size_t row) {
+        if (excluded_[row] == mark_epoch_ || (only_zone && hosts_[row].zone != *only_zone) ||
+            !candidate(requirements, job, hosts_[row]))
             return;
-        heap.push_back(score(requirements, i));
+        heap.push_back(score(requirements, row));
     });
     const auto later = [](const Score& a, const Score& b) { return b < a; };
     std::make_heap(heap.begin(), heap.end(), later);
-    while (out.size() < count && !heap.empty()) {
+    while (placed.size() < count && !heap.empty()) {
         std::pop_heap(heap.begin(), heap.end(), later);
-        const auto i = heap.back().at;
+        const auto row = heap.back().row;
         heap.pop_back();
-        if (!candidate(requirements, job, hosts_[i])) continue;
-        put(i, requirements, job);
-        out.push_back(i);
-        if (candidate(requirements, job, hosts_[i])) {
-            heap.push_back(score(requirements, i));
+        if (!candidate(requirements, job, hosts_[row])) continue;
+        put(row, requirements, job);
+        placed.push_back(row);
+        if (candidate(requirements, job, hosts_[row])) {
+            heap.push_back(score(requirements, row));
             std::push_heap(heap.begin(), heap.end(), later);
         }
     }
-    return out;
+    return placed;
 }
 
-std::size_t Planner::place_at(std::size_t i, const Requirements& requirements, JobHosts& job, std::size_t count) {
+std::size_t Planner::place_at(std::size_t row, const Requirements& requirements, JobHosts& job, std::size_t count) {
     std::size_t n = 0;
-    while (n < count && would_take(hosts_[i], requirements, job)) {
-        put(i, requirements, job);
+    while (n < count && would_take(hosts_[row], requirements, job)) {
+        put(row, requirements, job);
         ++n;
     }
     return n;
 }
 
-void Planner::reserve(std::size_t i, const Requirements& requirements) {
-    if (trial_) trial_->before_.emplace_back(i, hosts_[i]);
-    subtract_resources(hosts_[i].free, requirements.spec->need);
-    ++hosts_[i].load;
+void Planner::reserve(std::size_t row, const Requirements& requirements) {
+    if (trial_) trial_->saved_rows_.emplace_back(row, hosts_[row]);
+    subtract_resources(hosts_[row].free, requirements.spec->need);
+    ++hosts_[row].load;
 }
 
 std::size_t Planner::room_in(const Requirements& requirements, const JobHosts& job, std::size_t count,
                              std::optional<Id> zone) const {
     std::size_t room = 0;
-    each_roomy(requirements.spec->need, [&](std::size_t i) {
-        if (room >= count || (zone && hosts_[i].zone != *zone) || !would_take(hosts_[i], requirements, job)) return;
-        room += task_slots(requirements.spec->need, hosts_[i].free);
+    for_each_with_room(requirements.spec->need, [&](std::size_t row) {
+        if (room >= count || (zone && hosts_[row].zone != *zone) || !would_take(hosts_[row], requirements, job)) return;
+        room += task_slots(requirements.spec->need, hosts_[row].free);
     });
     return std::min(room, count);
 }
@@ -255,71 +267,75 @@
 std::vector<std::size_t> Planner::place_together(const Requirements& requirements, JobHosts& job, std::size_t count,
                                                  std::optional<Id> only_zone) {
     const auto attempt = [&](std::optional<Id> zone) {
-        Together out;
-        if (room_in(requirements, job, count, zone) < count)
-            return out;  // most attempts end here, having cost one scan
+        GangPlacement placement;
+        if (room_in(requirements, job, count, zone) < count) return placement;  // ends most attempts after one scan
         auto trial_job = job;
         Trial trial(*this);
-        out.places = place_many(requirements, trial_job, count, zone);
-        if (out.places.size() < count) out.places.clear();
-        // The rows as they were before: the task placed there first waits longest.
-        for (const auto& [i, before] : trial.before_)
-            out.wait = std::max(out.wait, before.image_wait(requirements.image, requirements.spec->image_gb));
-        return out;
+        placement.rows = place_many(requirements, trial_job, count, zone);
+        if (placement.rows.size() < count) placement.rows.clear();
+        // The copies show each host before a placement: the first task placed on a host waits longest for the image.
+        for (const auto& [row, saved] : trial.saved_rows_)
+            placement.image_wait =
+                std::max(placement.image_wait, saved.image_wait(requirements.image, requirements.spec->image_gb));
+        return placement;
     };
-    Together best;
+    GangPlacement best;
     if (!requirements.spec->one_zone || only_zone || job.anywhere()) {
         best = attempt(only_zone);
     } else {
-        // All start together, so the zone is best whose last machine has the image soonest.
+        // The tasks of a gang start together, so the best zone is the one whose last machine has the image soonest.
         std::set<Id> tried;
-        for (std::size_t i = 0; i < hosts_.size(); ++i) {
-            if (!tried.insert(hosts_[i].zone).second) continue;
-            auto other = attempt(hosts_[i].zone);
-            if (!other.places.empty() && (best.places.empty() || other.wait < best.wait)) best = std::move(other);
+        for (std::size_t row = 0; row < hosts_.size(); ++row) {
+            if (!tried.insert(hosts_[row].zone).second) continue;
+            auto other = attempt(hosts_[row].zone);
+            if (!other.rows.empty() && (best.rows.empty() || other.image_wait < best.image_wait))
+                best = std::move(other);
         }
     }
-    if (best.places.empty()) return {};
+    if (best.rows.empty()) return {};
     mark(job);
-    for (const auto i : best.places) put(i, requirements, job);
-    return best.places;
+    for (const auto row : best.rows) put(row, requirements, job);
+    return best.rows;
 }
 
 void Planner::reserve_for_gang(const Requirements& requirements, std::size_t count) {
     const auto& spec = *requirements.spec;
     struct Choice {
-        double lack;
-        std::size_t at;
-        bool operator<(const Choice& o) const { return lack != o.lack ? lack < o.lack : at < o.at; }
+        double shortfall;  // the largest share of a resource's capacity that is missing for one task
+        std::size_t row;
+        bool operator<(const Choice& other) const {
+            return shortfall != other.shortfall ? shortfall < other.shortfall : row < other.row;
+        }
     };
     std::vector<Choice> choices;
-    for (std::size_t i = 0; i < hosts_.size(); ++i) {
-        const auto& h = hosts_[i];
+    for (std::size_t row = 0; row < hosts_.size(); ++row) {
+        const auto& h = hosts_[row];
         if (h.reserved_for || !requirements.allows(h.pool)) continue;
-        auto once_free = h.capacity;
-        subtract_resources(once_free, h.held_by_services);
-        if (!fits(spec.need, once_free)) continue;
-        const auto lack = std::max({(spec.need.cpus - h.free.cpus) / std::max(1.0, h.capacity.cpus),
-                                    (spec.need.gpus - h.free.gpus) / std::max(1.0, h.capacity.gpus),
-                                    (spec.need.memory_gb - h.free.memory_gb) / std::max(1.0, h.capacity.memory_gb)});
-        choices.push_back({lack, i});
+        auto without_services = h.capacity;
+        subtract_resources(without_services, h.held_by_services);
+        if (!fits(spec.need, without_services)) continue;
+        const auto shortfall =
+            std::max({(spec.need.cpus - h.free.cpus) / std::max(1.0, h.capacity.cpus),
+                      (spec.need.gpus - h.free.gpus) / std::max(1.0, h.capacity.gpus),
+                      (spec.need.memory_gb - h.free.memory_gb) / std::max(1.0, h.capacity.memory_gb)});
+        choices.push_back({shortfall, row});
     }
     if (choices.empty()) return;
     if (spec.one_zone) {
-        const auto zone = hosts_[std::min_element(choices.begin(), choices.end())->at].zone;
-        std::erase_if(choices, [&](const Choice& c) { return hosts_[c.at].zone != zone; });
+        const auto zone = hosts_[std::min_element(choices.begin(), choices.end())->row].zone;
+        std::erase_if(choices, [&](const Choice& c) { return hosts_[c.row].zone != zone; });
     }
     count = std::min(count, choices.size());
     std::nth_element(choices.begin(), choices.begin() + static_cast<std::ptrdiff_t>(count - 1), choices.end());
-    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].at].reserved_for = requirements.priority;
+    for (std::size_t k = 0; k < count; ++k) hosts_[choices[k].row].reserved_for = requirements.priority;
 }
 
-bool precedes(const QueueEntry& a, const QueueEntry& b, double ageing) {
+bool precedes(const QueueEntry& a, const QueueEntry& b, double aging_rate) {
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
     if (a.priority != b.priority) return a.priority > b.priority;
     if (a.window != b.window) return a.window < b.window;
-    const auto la = a.length - ageing * a.waited, lb = b.length - ageing * b.waited;
-    if (la != lb) return la < lb;
+    const auto aged_a = a.length - aging_rate * a.waited, aged_b = b.length - aging_rate * b.waited;
+    if (aged_a != aged_b) return aged_a < aged_b;
     return a.uid < b.uid;
 }
 
