--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -6,8 +6,9 @@
 namespace flintdale::fleet {
 
 namespace {
-constexpr int max_doublings = 4;                // of the pause after refused requests
-constexpr std::chrono::seconds first_pause{4};  // doubled with every refusal, the first included
+// The back-off after refused launch requests is base_pause, doubled once for each refusal in a row: 8 to 64 s.
+constexpr int max_doublings = 4;
+constexpr std::chrono::seconds base_pause{4};
 }  // namespace
 
 void Machine::record_image_use(const Image& image, double cache_gb) {
@@ -96,7 +97,7 @@
     if (const auto* t = type(type_name); t && m.row.capacity.cpus == 0) {
         m.row.capacity = t->capacity;
         m.row.fetch_gb_per_s = t->fetch_gb_per_s;
-        // Tasks assigned before the type was known have been taken from zero.
+        // Tasks that were assigned before the type was known have made the free resources negative.
         placement::add_resources(m.row.free, m.row.capacity);
     }
 }
@@ -142,39 +143,39 @@
 }
 
 std::vector<wire::MachineHint> MachineInventory::hints() const {
-    std::vector<wire::MachineHint> out;
+    std::vector<wire::MachineHint> hints;
     for (const auto& [name, m] : machines_) {
         if (m->releasing || (m->images.empty() && !m->quarantined)) continue;
-        wire::MachineHint note{name, {}, m->quarantined};
-        for (const auto& image : m->images) note.images.push_back({directory_.image_name(image.id), image.gb});
-        out.push_back(std::move(note));
+        wire::MachineHint hint{name, {}, m->quarantined};
+        for (const auto& image : m->images) hint.images.push_back({directory_.image_name(image.id), image.gb});
+        hints.push_back(std::move(hint));
     }
-    return out;
+    return hints;
 }
 
-void MachineInventory::apply_hints(std::vector<wire::MachineHint> notes) {
-    for (auto& note : notes) {
-        if (confirmed_gone(note.name)) continue;
-        // The size of a machine's cache is known once its type is.
-        if (auto* m = find(note.name); m && !m->type.empty())
-            apply_hint(note, *m);
+void MachineInventory::apply_hints(std::vector<wire::MachineHint> hints) {
+    for (auto& hint : hints) {
+        if (confirmed_gone(hint.name)) continue;
+        // The type determines the size of the machine's cache.
+        if (auto* m = find(hint.name); m && !m->type.empty())
+            apply_hint(hint, *m);
         else
-            pending_hints_[note.name] = std::move(note);
+            pending_hints_[hint.name] = std::move(hint);
     }
 }
 
-// What this leader knows itself is newer than the hint: its images count as used later.
-void MachineInventory::apply_hint(const wire::MachineHint& note, Machine& m) {
+// This leader's own knowledge is newer than the hint, so its images count as used more recently.
+void MachineInventory::apply_hint(const wire::MachineHint& hint, Machine& m) {
     const auto known = std::exchange(m.images, {});
-    for (const auto& image : note.images) m.record_image_use({directory_.image(image.name), image.gb}, cache_gb(m));
+    for (const auto& image : hint.images) m.record_image_use({directory_.image(image.name), image.gb}, cache_gb(m));
     for (const auto& image : known) m.record_image_use(image, cache_gb(m));
-    m.quarantined = m.quarantined || note.quarantined;
+    m.quarantined = m.quarantined || hint.quarantined;
 }
 
 void MachineInventory::launch_refused(const Pool& pool, TimePoint now) {
     auto& back_off = back_off_[pool];
-    back_off.times = std::min(back_off.times + 1, max_doublings);
-    back_off.until = now + first_pause * (1 << back_off.times);
+    back_off.refusals = std::min(back_off.refusals + 1, max_doublings);
+    back_off.until = now + base_pause * (1 << back_off.refusals);
 }
 
 bool MachineInventory::may_launch(const Pool& pool, TimePoint now) const {
--- a/src/model/clock.hpp
+++ b/src/model/clock.hpp
@@ -1,13 +1,13 @@
-// The clock that the whole program goes by.
+// The clock that all components use.
 #pragma once
 #include <chrono>
 
 namespace flintdale::model {
 
-// A duration in seconds, as settings and protocols give them.
+// A duration in seconds, as in settings and protocols.
 using Seconds = std::chrono::duration<double>;
 
-// The steady clock. The simulator puts a time of its own in its place, for the calling thread only.
+// The steady clock. The simulator replaces it by a simulated time, per thread.
 struct Clock {
     using duration = std::chrono::steady_clock::duration;
     using rep = duration::rep;
@@ -15,11 +15,11 @@
     using time_point = std::chrono::steady_clock::time_point;
     static constexpr bool is_steady = true;
     static time_point now() { return simulated ? *simulated : std::chrono::steady_clock::now(); }
-    static inline thread_local const time_point* simulated = nullptr;
+    static inline thread_local const time_point* simulated = nullptr;  // null: real time
 };
 using TimePoint = Clock::time_point;
 
-// The same duration in the clock's own resolution, rounded towards zero.
+// Converts to the clock's resolution; rounds towards zero.
 inline Clock::duration to_clock(Seconds s) { return std::chrono::duration_cast<Clock::duration>(s); }
 
 }  // namespace flintdale::model
--- a/src/model/command.hpp
+++ b/src/model/command.hpp
@@ -1,4 +1,4 @@
-// What a leader tells a worker to do.
+// Commands from the leader to workers.
 #pragma once
 #include <cstdint>
 
@@ -17,7 +17,7 @@
     CommandType type = CommandType::run;
     TaskId id;
     std::uint64_t attempt = 0;
-    Seconds grace_period{0};  // of a kill: how long the task may save its progress
+    Seconds grace_period{0};  // kill only: time for the task to save a checkpoint
 };
 
 }  // namespace flintdale::model
--- a/src/model/heartbeat.hpp
+++ b/src/model/heartbeat.hpp
@@ -1,4 +1,4 @@
-// What a worker reports periodically.
+// The periodic report of a worker.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,15 +10,15 @@
 
 namespace flintdale::model {
 
-// Of two heartbeats of a machine the one with the higher (incarnation, sequence) is the newer.
+// The newer of two heartbeats of a machine has the higher (incarnation, sequence).
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    std::uint64_t incarnation = 0;              // rises each time that the worker's lease expires or it restarts
-    std::uint64_t sequence = 0;                 // rises with each heartbeat of an incarnation
+    std::uint64_t incarnation = 0;              // rises each time the worker restarts or its lease expires
+    std::uint64_t sequence = 0;                 // rises with each heartbeat of the incarnation
     std::uint64_t fencing_token = 0;            // the highest leader term that the worker has accepted
-    std::optional<Seconds> termination_notice;  // a spot instance: time until the cloud takes it back
-    std::vector<TaskReport> tasks;              // all that the worker holds, exited ones included
+    std::optional<Seconds> termination_notice;  // spot only: time until the cloud terminates the machine
+    std::vector<TaskReport> tasks;              // all tasks on the worker, including exited ones
     bool operator==(const Heartbeat&) const = default;
 };
 
--- a/src/model/machine.hpp
+++ b/src/model/machine.hpp
@@ -1,4 +1,4 @@
-// Machines, as the cloud offers and lists them.
+// Machine types that the cloud offers, and entries of its list of machines.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,20 +12,20 @@
 struct MachineType {
     std::string name;
     Resources capacity;
-    double cache_gb = 0, fetch_gb_per_s = 0;  // for images
-    double price = 0, spot_price = 0;         // per unit of time, all in the same currency
-    Seconds boot{0};                          // nominal
-    std::vector<std::string> zones;           // where it can be had
+    double cache_gb = 0, fetch_gb_per_s = 0;  // of the image cache, and the rate of image fetches
+    double price = 0, spot_price = 0;         // per unit of time, in one currency for all types
+    Seconds boot{0};                          // nominal boot time
+    std::vector<std::string> zones;           // in which the type is offered
 };
 
 enum class MachineStatus : std::uint8_t { booting, running, failed };
 
-// A machine in the cloud's list, which lags behind.
+// An entry of the cloud's list of machines, which lags behind the actual state.
 struct ListedMachine {
     std::string name, addr, type, zone;
     bool spot = false;
     MachineStatus status = MachineStatus::booting;
-    Seconds age{0};
+    Seconds age{0};  // since the machine was launched
 };
 
 }  // namespace flintdale::model
--- a/src/model/resources.hpp
+++ b/src/model/resources.hpp
@@ -1,4 +1,4 @@
-// The resources that tasks need and machines have.
+// Resources of tasks and machines.
 #pragma once
 
 namespace flintdale::model {
--- a/src/quota/quota_accounting.hpp
+++ b/src/quota/quota_accounting.hpp
@@ -1,7 +1,7 @@
-// Accounting of what each team uses, may use (quota) and is guaranteed, in CPUs and accelerators. Pure: the scheduler
-// reports placements and evidence, and asks before each placement. Usage counts all that may be on machines: a task
-// counts from its placement until there is evidence that it is gone, so that no order of events makes the usage too
-// low.
+// Accounting of each team's usage, limit (quota) and guarantee, in CPUs and accelerators.
+// The scheduler reports each placement and each task that is confirmed gone, and checks the limit before each
+// placement. A task counts from its placement until there is proof that it is gone, so no order of events makes the
+// usage too low. Pure: no I/O, no clock.
 #pragma once
 #include <map>
 #include <set>
@@ -21,50 +21,51 @@
     bool operator==(const Amount&) const = default;
 };
 
-// A team's figures; 0 means none, for limits and guarantees alike.
+// A team's limit and guarantee. An amount of 0 means none, in both.
 struct TeamQuota {
     Amount limit, guarantee;
     bool operator==(const TeamQuota&) const = default;
 };
 
-// By team. Controllers that are restarted one by one with new settings have different tables for a while.
+// Quotas by team name. While controllers are restarted one by one with new settings, their tables differ.
 using Table = std::map<std::string, TeamQuota>;
 
 Table table_of(const std::vector<config::Team>& teams);
 
-// What holds while some controllers have one table and some the other: of each limit the lower one, or the only one; of
-// each guarantee the lower one, so that nothing is preempted for a guarantee that one of them does not know. A team
-// that is in one table only keeps its figures.
+// Merges two tables while some controllers use one and some the other. Takes the lower of two limits, or the only one,
+// and the lower guarantee of each team, so that no task is preempted for a guarantee that one controller does not know.
+// A team that is in one table only keeps its quota.
 Table strictest(const Table& a, const Table& b);
 
 class QuotaAccounting {
   public:
     explicit QuotaAccounting(Table table) : table_(std::move(table)) {}
 
-    // Replaces the figures. What exceeds a lowered limit stays; nothing more starts until the usage is below.
+    // Replaces the quotas. Tasks above a lowered limit keep running, and no task starts until the usage is below it.
     void set(Table table);
     const Table& table() const { return table_; }
 
     // --- usage ---
 
-    // A task of the team was placed, or is gone. Each call of task_gone() must follow one of task_placed() with the
-    // same need.
+    // A task of the team was placed, or is confirmed gone. Each call of task_gone() must follow a call of task_placed()
+    // with the same need.
     void task_placed(const std::string& team, const model::Resources& need);
     void task_gone(const std::string& team, const model::Resources& need);
     Amount use(const std::string& team) const;
-    // How many more such tasks the team's limit leaves room for, at most `tasks`; none for a team that is not known.
+    // The number of tasks with this need, at most `tasks`, that may start within the team's limit; 0 for an unknown
+    // team.
     std::uint32_t room(const std::string& team, const model::Resources& need, std::uint32_t tasks) const;
 
-    // Whether the usage exceeds the limit. It can after a failover: a new leader may read records of tasks that never
-    // started beside those of the tasks that replaced them.
+    // Whether the usage exceeds the limit. This can happen after a failover: the new leader may read records of tasks
+    // that never started beside those of the tasks that replaced them.
     bool over_limit(const std::string& team) const;
-    // Whether the team has a limit, or is not known.
+    // Whether the team has a limit, or is unknown.
     bool limited(const std::string& team) const;
 
     // --- guarantees ---
 
-    // An open job, and one that is over. Open jobs count in the order of their acceptance on record, which is the same
-    // for every controller.
+    // Adds an open job, and removes one that is done or cancelled. Open jobs count in the order of their recorded time
+    // of acceptance, which is the same for every controller.
     void job_opened(const model::JobSpec& spec);
     void job_closed(const model::JobSpec& spec);
 
@@ -72,13 +73,13 @@
     bool any_guarantee() const;
 
     // Whether the job fits into its team's guarantee together with all of the team's open jobs that were accepted
-    // before it. Such a job need not wait for other teams, and is never preempted for one. If only one of the two
-    // figures is set, the other does not bind.
+    // before it. Such a job need not wait for other teams, and is never preempted for one. If the guarantee covers CPUs
+    // only or accelerators only, the other resource does not count.
     bool guaranteed(const std::string& team, const std::string& uid) const;
-    // Whether a task of the team that is not guaranteed may be preempted for another team's guarantee, while `stopping`
-    // of the team's usage is being stopped already. No team is brought below its own guarantee.
+    // Whether a task of the team that is not guaranteed may be preempted for another team's guarantee. `stopping`: the
+    // part of the team's usage that is being stopped already. No team is brought below its own guarantee.
     bool may_preempt(const std::string& team, const Amount& stopping, const model::Resources& need) const;
-    // Whether guaranteed tasks of the team are not placed. For the log and for tests.
+    // Whether the team uses less than its guaranteed jobs need. For the log and for tests.
     bool below_guarantee(const std::string& team) const;
 
   private:
@@ -94,14 +95,16 @@
         Amount use;
         std::size_t tasks = 0;  // placed
         std::set<OpenJob> open;
-        // Computed from `open` and the figures when it is asked for.
+        // Derived from `open` and the quota; recomputed on the next query while `stale` is set.
         mutable bool stale = true;
-        mutable std::set<std::string> guaranteed;  // uids
-        mutable Amount guaranteed_need;            // of those jobs
+        mutable std::set<std::string> guaranteed;  // uids of the guaranteed jobs
+        mutable Amount guaranteed_need;            // of the guaranteed jobs together
     };
-    const TeamQuota* figures(const std::string& team) const;
+    // Null if the team is unknown.
+    const TeamQuota* quota_of(const std::string& team) const;
+    // Null if the team has neither a placed task nor a job.
     const Team* find(const std::string& team) const;
-    // Computes what is stale.
+    // Recomputes the derived fields.
     void refresh(const std::string& name, const Team& team) const;
 
     Table table_;
