--- a/src/wire/archive.cpp
+++ b/src/wire/archive.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr int compression_level = 3;
-constexpr std::size_t max_page = 16 * 1024 * 1024;  // bytes, once it is decompressed
+constexpr int compression_level = 3;                      // of Zstandard
+constexpr std::size_t max_page_bytes = 16 * 1024 * 1024;  // decompressed
 
 }  // namespace
 
@@ -29,12 +29,12 @@
 }
 
 std::vector<ArchivedRecord> decode_archive(std::string_view compressed) {
-    const auto bytes = decompress(compressed, max_page);
+    const auto bytes = decompress(compressed, max_page_bytes);
     std::vector<ArchivedRecord> records;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
         capnp::ReaderOptions options;
-        options.traversalLimitInWords = max_page;
+        options.traversalLimitInWords = max_page_bytes;
         capnp::PackedMessageReader message(stream, options);
         for (const auto record : message.getRoot<::Archive>().getRecords())
             records.push_back({record.getKey().cStr(), record.getModRevision(), record.getText().cStr()});
@@ -44,8 +44,8 @@
     return records;
 }
 
-std::string encode_archive_text(std::span<const ArchivedRecord> records) { return to_text(encode_archive(records)); }
+std::string encode_archive_text(std::span<const ArchivedRecord> records) { return to_base64(encode_archive(records)); }
 
-std::vector<ArchivedRecord> decode_archive_text(std::string_view text) { return decode_archive(from_text(text)); }
+std::vector<ArchivedRecord> decode_archive_text(std::string_view text) { return decode_archive(from_base64(text)); }
 
 }  // namespace flintdale::wire
--- a/src/wire/archive.hpp
+++ b/src/wire/archive.hpp
@@ -1,5 +1,5 @@
-// Pages of records, as a controller's replica offers them after a loss and as snapshots keep them: Cap'n Proto, packed
-// and compressed with a checksum (archive.capnp). A page is read as a whole or not at all.
+// Codec for pages of records. Replicas offer such pages after a loss of records, and snapshots contain them.
+// Format: packed Cap'n Proto (archive.capnp), compressed with a checksum. Decoding accepts complete pages only.
 #pragma once
 #include <cstdint>
 #include <span>
@@ -12,16 +12,16 @@
 // A record of the store.
 struct ArchivedRecord {
     std::string key;
-    std::uint64_t mod_revision = 0;
-    std::string text;  // the value, JSON
+    std::uint64_t mod_revision = 0;  // revision of the store at the key's last change
+    std::string text;                // the value, JSON
     bool operator==(const ArchivedRecord&) const = default;
 };
 
 std::string encode_archive(std::span<const ArchivedRecord> records);
-// Throws DecodeError if the bytes are no whole page.
+// Throws DecodeError if the bytes are not a complete, undamaged page.
 std::vector<ArchivedRecord> decode_archive(std::string_view bytes);
 
-// The same as text without spaces or quotes, for values of the store.
+// The same as base64, which has no spaces or quotes, for values in the store.
 std::string encode_archive_text(std::span<const ArchivedRecord> records);
 std::vector<ArchivedRecord> decode_archive_text(std::string_view text);
 
--- a/src/wire/cloud_json.hpp
+++ b/src/wire/cloud_json.hpp
@@ -1,4 +1,4 @@
-// JSON to and from the cloud, and the record of its catalogue. Pure: no I/O.
+// JSON codec for the cloud's API and for the record of its machine catalog. Pure: no I/O.
 #pragma once
 #include <boost/json.hpp>
 #include <string>
@@ -11,28 +11,29 @@
 
 namespace json = boost::json;
 
-// The machine types that the cloud offers. Throws DecodeError, which names the field and the reason.
+// Parses the machine types that the cloud offers. Throws DecodeError, which names the field and the reason.
 std::vector<model::MachineType> parse_catalog(std::string_view body);
 
-// The catalogue in the cloud's own form, to be kept in the store.
+// The catalog in the cloud's format, as it is recorded in the store; parse_catalog() reads it.
 json::object catalog_record(const std::vector<model::MachineType>& types);
 
 // One page of the cloud's list of machines.
 struct MachinePage {
     std::vector<model::ListedMachine> machines;
-    bool more = false;  // further machines follow the last one
+    bool more = false;  // another page follows
 };
 
 // Throws DecodeError, which names the field and the reason.
 MachinePage parse_machines(std::string_view body);
 
-// The names of machines that were launched. Throws DecodeError if the body has no list of them.
+// Parses the names of launched machines from the cloud's response. Throws DecodeError if the body has no list of names.
 std::vector<std::string> parse_launched(std::string_view body);
 
-// A request to launch `count` machines. `request`: its id, under which it is carried out at most once.
+// The body of a request to launch `count` machines. `request`: the request's id; the cloud carries out each id at most
+// once.
 std::string launch_body(std::string_view request, std::string_view type, std::string_view zone, bool spot, int count);
 
-// A request to terminate machines, by name.
+// The body of a request to terminate machines. `names`: their names.
 std::string terminate_body(const std::vector<std::string>& names);
 
 }  // namespace flintdale::wire
--- a/src/wire/enum_names.hpp
+++ b/src/wire/enum_names.hpp
@@ -1,4 +1,4 @@
-// Names of enumerators on the wire and in records: tables of pairs, searched in their order.
+// Names of enumerators on the wire and in records. Each table is searched in its order.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -13,7 +13,7 @@
 template <class E, std::size_t N>
 using EnumNames = std::array<std::pair<E, std::string_view>, N>;
 
-// Empty if the value has no name.
+// The name of the value; empty if it has none.
 template <class E, std::size_t N>
 constexpr std::string_view name_of(const EnumNames<E, N>& names, E value) {
     for (const auto& [enumerator, name] : names)
@@ -21,7 +21,7 @@
     return "";
 }
 
-// Nothing if no value has that name.
+// The value with this name, if any.
 template <class E, std::size_t N>
 constexpr std::optional<E> value_of(const EnumNames<E, N>& names, std::string_view name) {
     for (const auto& [enumerator, its_name] : names)
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -1,4 +1,5 @@
-// All JSON codecs of the package. New code includes the header of the other end that it speaks to.
+// Includes all JSON codecs of the package. New code includes only the codec of the peer that it talks to (cloud, user,
+// worker) or of records.
 #pragma once
 #include "wire/cloud_json.hpp"
 #include "wire/decode_error.hpp"
--- a/src/wire/json_fields.cpp
+++ b/src/wire/json_fields.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr std::size_t max_depth = 16;
-constexpr std::size_t max_text = 200;  // bytes
+constexpr std::size_t max_depth = 16;  // levels of nesting
+constexpr std::size_t max_text_bytes = 200;
 constexpr double max_amount = 1e9;
-constexpr double max_exact_whole = 9e15;  // a double represents every whole number below
+constexpr double max_exact_integer =
+    9e15;  // a double represents every whole number up to 2^53, about 9.007e15, exactly
 
 double to_double(const json::value& value, std::string_view field) {
     if (value.is_double()) return value.get_double();
@@ -18,7 +19,7 @@
     fields::fail(field, "must be a number");
 }
 
-bool is_exact_count(double number) { return number >= 0 && number < max_exact_whole && number == std::floor(number); }
+bool is_exact_count(double number) { return number >= 0 && number < max_exact_integer && number == std::floor(number); }
 
 }  // namespace
 
@@ -53,7 +54,7 @@
     const auto& value = require(object, field);
     if (!value.is_string()) fail(field, "must be a string");
     const auto& text = value.get_string();
-    if (text.empty() || text.size() > max_text) fail(field, "must be 1 to 200 bytes long");
+    if (text.empty() || text.size() > max_text_bytes) fail(field, "must be 1 to 200 bytes long");
     return std::string(text);
 }
 
--- a/src/wire/machine_hints.capnp
+++ b/src/wire/machine_hints.capnp
@@ -1,7 +1,7 @@
 @0xb3c8a1e54d7f0296;
 
-# What a leader knows of machines and no heartbeat tells the next one. Nothing here is needed for safety: it only
-# makes placement better after a failover.
+# Hints about machines that a leader leaves for the next one, because heartbeats do not contain this information.
+# They only improve placement after a failover; no safety rule depends on them.
 
 struct Image @0xf2c1565c49d6c75f {
     name @0 :Text;
@@ -10,7 +10,7 @@
 
 struct MachineHint @0x9b8e41dd6b92db19 {
     name @0 :Text;
-    images @1 :List(UInt32);   # in its cache, as indices into Page.images, least recently used first
+    images @1 :List(UInt32);   # in the machine's cache, as indices into Page.images, least recently used first
     quarantined @2 :Bool;         # several jobs failed there that succeeded elsewhere
 }
 
--- a/src/wire/machine_hints.cpp
+++ b/src/wire/machine_hints.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr int compression_level = 3;           // higher ones cost too much of the leader's processor time
-constexpr std::size_t max_page = 1024 * 1024;  // bytes, once it is decompressed
+constexpr int compression_level = 3;  // of Zstandard; higher levels use too much of the leader's CPU time
+constexpr std::size_t max_page_bytes = 1024 * 1024;  // decompressed
 
-// All images of the hints, each once, in the order of their first use.
+// The images of all hints without duplicates, in the order of their first use.
 class ImageTable {
   public:
     explicit ImageTable(std::span<const MachineHint> hints) {
@@ -52,11 +52,11 @@
         auto cached = machines[i].initImages(static_cast<unsigned>(hints[i].images.size()));
         for (unsigned k = 0; k < cached.size(); ++k) cached.set(k, table.index_of(hints[i].images[k].name));
     }
-    return to_text(compress(message, compression_level));
+    return to_base64(compress(message, compression_level));
 }
 
 std::vector<MachineHint> decode_machine_hints(std::string_view text) {
-    const auto bytes = decompress(from_text(text), max_page);
+    const auto bytes = decompress(from_base64(text), max_page_bytes);
     std::vector<MachineHint> hints;
     try {
         kj::ArrayInputStream stream(kj::arrayPtr(bytes.data(), bytes.size()));
--- a/src/wire/machine_hints.hpp
+++ b/src/wire/machine_hints.hpp
@@ -1,5 +1,5 @@
-// Hints about machines that a leader leaves for the next one, in pages that a value of the store can hold: Cap'n Proto,
-// packed and compressed, as text (machine_hints.capnp).
+// Codec for pages of hints about machines that a leader leaves for the next one. Each page is one value in the store.
+// Format: packed Cap'n Proto (machine_hints.capnp), compressed, as base64.
 #pragma once
 #include <span>
 #include <string>
@@ -20,9 +20,9 @@
     bool operator==(const MachineHint&) const = default;
 };
 
-// One page of text without spaces or quotes. Equal hints give equal text.
+// Encodes one page as text without spaces or quotes. Equal hints give equal text.
 std::string encode_machine_hints(std::span<const MachineHint> hints);
-// Throws DecodeError if the text is no such page.
+// Throws DecodeError if the text is not such a page.
 std::vector<MachineHint> decode_machine_hints(std::string_view text);
 
 }  // namespace flintdale::wire
--- a/src/wire/packed_message.cpp
+++ b/src/wire/packed_message.cpp
@@ -35,12 +35,12 @@
     return bytes;
 }
 
-std::string to_text(std::string_view bytes) {
+std::string to_base64(std::string_view bytes) {
     const auto text = kj::encodeBase64(kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
     return {text.cStr(), text.size()};
 }
 
-std::string from_text(std::string_view text) {
+std::string from_base64(std::string_view text) {
     const auto bytes = kj::decodeBase64(kj::arrayPtr(text.data(), text.size()));
     if (bytes.hadErrors) throw DecodeError("a page is damaged");
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
--- a/src/wire/packed_message.hpp
+++ b/src/wire/packed_message.hpp
@@ -1,5 +1,5 @@
-// Cap'n Proto messages packed, compressed by Zstandard, and back; and their bytes as text. For the codecs of this
-// package only.
+// Conversion of Cap'n Proto messages to packed, Zstandard-compressed bytes and base64 text, and back. Internal to this
+// package.
 #pragma once
 #include <capnp/message.h>
 #include <kj/common.h>
@@ -10,15 +10,16 @@
 
 namespace flintdale::wire {
 
-// The compressed bytes of the packed message, with a checksum, so that damaged bytes are never taken for what was
-// written. `level`: Zstandard's compression level.
+// Packs and compresses a message. The result has a checksum, by which decompress() detects damaged bytes. `level`: the
+// compression level of Zstandard.
 std::string compress(capnp::MessageBuilder& message, int level);
 
-// The bytes of the packed message. Throws DecodeError if they are damaged, or more than `max_size` bytes.
+// Returns the bytes of the packed message. Throws DecodeError if the input is damaged, or if the result would exceed
+// `max_size` bytes.
 std::vector<kj::byte> decompress(std::string_view compressed, std::size_t max_size);
 
-// Base64, which has neither spaces nor quotes. from_text throws DecodeError if the text is damaged.
-std::string to_text(std::string_view bytes);
-std::string from_text(std::string_view text);
+// Base64 has no spaces or quotes. from_base64() throws DecodeError if the text is malformed.
+std::string to_base64(std::string_view bytes);
+std::string from_base64(std::string_view text);
 
 }  // namespace flintdale::wire
--- a/src/wire/record_json.cpp
+++ b/src/wire/record_json.cpp
@@ -12,7 +12,7 @@
 constexpr EnumNames<model::JobState, 3> job_state_names{
     {{model::JobState::open, "open"}, {model::JobState::done, "done"}, {model::JobState::cancelled, "aborted"}}};
 
-// [from, to, attempt, machine, done]
+// Format: [from, to, attempt, machine, done]
 model::TaskRange parse_range(const json::array& range) {
     return {static_cast<std::uint32_t>(to_count(range.at(0), "range")),
             static_cast<std::uint32_t>(to_count(range.at(1), "range")), to_count(range.at(2), "range"),
--- a/src/wire/relay.capnp
+++ b/src/wire/relay.capnp
@@ -1,6 +1,6 @@
 @0xb3c0f5d2a97e4186;
 
-# Workers' heartbeats that a follower forwards to the leader, and the leader's responses.
+# Heartbeats of workers that a follower relays to the leader, and the leader's responses.
 
 struct RelayedTask @0x941f491ae1d4b09e {
     uid @0 :Text;
@@ -12,8 +12,8 @@
 }
 
 struct RelayedHeartbeat @0xfefbec9492288a56 {
-    number @0 :UInt64;        # of the sender's incarnation; the answer bears it
-    handle @1 :UInt32;        # under which this heartbeat may be repeated
+    number @0 :UInt64;        # unique in the sender's incarnation; the response has the same number
+    handle @1 :UInt32;        # by which a RepeatedHeartbeat refers to this heartbeat
     machine @2 :Text;
     address @3 :Text;
     type @4 :Text;
@@ -26,11 +26,12 @@
     tasks @11 :List(RelayedTask);
 }
 
-struct RepeatedHeartbeat @0xfe8e148f3093fae3 {       # a heartbeat with the same content as the one under that handle
+# A heartbeat with the same content as the last one with this handle, except for its sequence.
+struct RepeatedHeartbeat @0xfe8e148f3093fae3 {
     number @0 :UInt64;
     handle @1 :UInt32;
     sequence @2 :UInt64;
-    original @3 :UInt64;      # number of the heartbeat in full that is repeated
+    original @3 :UInt64;      # number of the full heartbeat that is repeated
 }
 
 struct RelayedCommand @0xdbcc81ee455c81ed {
@@ -49,9 +50,9 @@
 }
 
 struct RelayMessage @0x8813b61ad402331d {
-    member @0 :Text;          # who sends
+    member @0 :Text;          # the sender
     incarnation @1 :UInt64;   # of the sender
-    receiverIncarnation @2 :UInt64;  # another incarnation of the receiver must ignore the message
+    receiverIncarnation @2 :UInt64;  # other incarnations of the receiver must ignore the message
     reports @3 :List(RelayedHeartbeat);
     repeated @4 :List(RepeatedHeartbeat);
     answers @5 :List(RelayedResponse);
--- a/src/wire/user_json.cpp
+++ b/src/wire/user_json.cpp
@@ -11,9 +11,9 @@
 using namespace fields;
 
 constexpr std::uint32_t max_tasks = 100'000;
-constexpr std::size_t max_type_name = 200;  // bytes
+constexpr std::size_t max_type_name_bytes = 200;
 constexpr std::string_view uid_prefix = "run-";
-constexpr std::size_t max_uid = 64;  // bytes
+constexpr std::size_t max_uid_bytes = 64;
 
 std::uint32_t parse_tasks(const json::object& body) {
     const auto tasks = count(body, "shards");
@@ -27,7 +27,7 @@
     if (list.empty()) fail("hosttypes", "must be null or name a type");
     std::vector<std::string> types;
     for (const auto& type : list) {
-        if (!type.is_string() || type.get_string().empty() || type.get_string().size() > max_type_name)
+        if (!type.is_string() || type.get_string().empty() || type.get_string().size() > max_type_name_bytes)
             fail("hosttypes", "must hold names of types");
         types.emplace_back(type.get_string());
     }
@@ -42,7 +42,7 @@
             fail("prereqs", "must hold names of jobs");
         uids.emplace_back(uid.get_string());
     }
-    // A job that is named twice is one dependency.
+    // Removes duplicates.
     std::sort(uids.begin(), uids.end());
     uids.erase(std::unique(uids.begin(), uids.end()), uids.end());
     return uids;
@@ -55,12 +55,12 @@
 }  // namespace
 
 bool valid_uid(std::string_view uid) {
-    if (!uid.starts_with(uid_prefix) || uid.size() <= uid_prefix.size() || uid.size() > max_uid) return false;
+    if (!uid.starts_with(uid_prefix) || uid.size() <= uid_prefix.size() || uid.size() > max_uid_bytes) return false;
     const auto rest = uid.substr(uid_prefix.size());
     return std::all_of(rest.begin(), rest.end(), is_uid_character);
 }
 
-// Only a field that may be null may be omitted.
+// Fields that may be null may also be omitted; all other fields are required.
 model::JobSpec parse_submission(const json::object& body) {
     model::JobSpec spec;
     spec.uid = text(body, "uid");
--- a/src/wire/worker_json.cpp
+++ b/src/wire/worker_json.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::size_t max_index_digits = 7;
 
-// UID/INDEX
+// Format: UID/INDEX
 model::TaskId parse_task_id(const std::string& name, std::string_view field) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos) fail(field, "malformed");
@@ -48,7 +48,7 @@
     task.id = parse_task_id(text(body, "shard"), "shard");
     task.attempt = count(body, "try");
     task.status = enumerator(body, "status", task_status_names);
-    // An unknown cause must not make the whole heartbeat unreadable.
+    // An unknown cause must not invalidate the whole heartbeat.
     if (task.status == model::TaskStatus::exited)
         task.exit_reason = value_of(exit_reason_names, optional_text(body, "cause").value_or("error"))
                                .value_or(model::ExitReason::error);
--- a/src/wire/worker_json.hpp
+++ b/src/wire/worker_json.hpp
@@ -1,4 +1,4 @@
-// JSON to and from workers: heartbeats, and what controllers respond. Pure: no I/O.
+// JSON codec for the workers' API: heartbeats, responses and commands. Pure: no I/O.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,18 +10,18 @@
 
 namespace flintdale::wire {
 
-// A worker's heartbeat, or its answer to a question about its status. Throws DecodeError, which names the field and the
-// reason. An unknown cause of a task's exit does not: it counts as a failure of the task.
+// Parses a worker's heartbeat, or its response to a status query, which has the same format. Throws DecodeError, which
+// names the field and the reason. An unknown cause of a task's exit is no error: it counts as a failure of the task.
 model::Heartbeat parse_heartbeat(std::string_view body);
 
 // The leader's response to a heartbeat.
 std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<model::Command>& commands);
 
-// Commands outside a response to a heartbeat, for that incarnation of the worker only.
+// Commands that are sent outside a heartbeat response. Valid for this incarnation of the worker only.
 std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<model::Command>& commands);
 
-// The response that sends a worker to the leader, by its address; empty: it is not known.
+// The response that redirects a worker to the leader. `leader`: its address; empty: not known.
 std::string redirect_body(std::string_view leader);
 
 }  // namespace flintdale::wire
