--- a/tests/archive_test.cpp
+++ b/tests/archive_test.cpp
@@ -1,4 +1,4 @@
-// Pages of records in the archive format.
+// The archive format of record pages: a page is decoded completely, or an error is thrown.
 #include "wire/archive.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,4 +1,4 @@
-// Limits and guarantees of teams: the ledger, and what the leader makes of it.
+// Limits and guarantees of teams: their accounting, and how the leader applies them.
 #include <boost/random/mersenne_twister.hpp>
 
 #include "election/members.hpp"
@@ -31,7 +31,7 @@
     return s;
 }
 
-// A team by its guarantee and limit in accelerators.
+// `gpus`: the guarantee; `gpus_limit`: the limit. CPUs are neither guaranteed nor limited.
 config::Team team(const std::string& name, double gpus, double gpus_limit = 0) {
     return {name, 0, 0, gpus, gpus_limit};
 }
@@ -39,78 +39,78 @@
 }  // namespace
 
 TEST(QuotaTest, LimitLeavesRoomForWholeTasksAndUnknownTeamsHaveNone) {
-    QuotaAccounting l(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
+    QuotaAccounting accounting(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
     const model::Resources need{4, 1, 10};
-    EXPECT_EQ(l.room("red", need, 100), 2u) << "CPUs bind first";
-    l.task_placed("red", need);
-    EXPECT_EQ(l.room("red", need, 100), 1u);
-    EXPECT_EQ(l.room("red", {0, 1, 1}, 100), 2u);
-    EXPECT_EQ(l.room("blue", need, 100), 100u);
-    EXPECT_EQ(l.room("green", need, 100), 0u);
-    l.task_gone("red", need);
-    EXPECT_EQ(l.use("red"), Amount{});
+    EXPECT_EQ(accounting.room("red", need, 100), 2u) << "CPUs bind first";
+    accounting.task_placed("red", need);
+    EXPECT_EQ(accounting.room("red", need, 100), 1u);
+    EXPECT_EQ(accounting.room("red", {0, 1, 1}, 100), 2u);
+    EXPECT_EQ(accounting.room("blue", need, 100), 100u);
+    EXPECT_EQ(accounting.room("green", need, 100), 0u);
+    accounting.task_gone("red", need);
+    EXPECT_EQ(accounting.use("red"), Amount{});
 }
 
-// No order of news makes the use other than a plain count of what is placed.
+// In any order of placements and confirmed ends, the usage equals the sum over the tasks that are placed.
 TEST(QuotaTest, UsageEqualsARecountAfterAnyEvents) {
-    boost::random::mt19937 luck(7);
-    QuotaAccounting l(Table{{"red", {{50, 20}, {}}}, {"blue", {{0, 9}, {}}}});
+    boost::random::mt19937 random(7);
+    QuotaAccounting accounting(Table{{"red", {{50, 20}, {}}}, {"blue", {{0, 9}, {}}}});
     std::vector<std::pair<std::string, model::Resources>> placed;
     for (int i = 0; i < 20'000; ++i) {
-        const std::string who = luck() % 2 ? "red" : "blue";
-        const model::Resources need{0.1 * (1 + luck() % 40), 1.0 * (luck() % 3), 1};
-        if (luck() % 5 < 3 && l.room(who, need, 1) == 1) {
-            l.task_placed(who, need);
-            placed.emplace_back(who, need);
+        const std::string name = random() % 2 ? "red" : "blue";
+        const model::Resources need{0.1 * (1 + random() % 40), 1.0 * (random() % 3), 1};
+        if (random() % 5 < 3 && accounting.room(name, need, 1) == 1) {
+            accounting.task_placed(name, need);
+            placed.emplace_back(name, need);
         } else if (!placed.empty()) {
-            const auto at = luck() % placed.size();
-            l.task_gone(placed[at].first, placed[at].second);
+            const auto at = random() % placed.size();
+            accounting.task_gone(placed[at].first, placed[at].second);
             placed.erase(placed.begin() + static_cast<std::ptrdiff_t>(at));
         }
-        for (const auto& [name, f] : l.table()) {
+        for (const auto& [team_name, quota] : accounting.table()) {
             Amount sum;
             for (const auto& [t, n] : placed)
-                if (t == name) sum = {sum.cpus + n.cpus, sum.gpus + n.gpus};
-            ASSERT_NEAR(l.use(name).cpus, sum.cpus, 1e-6);
-            ASSERT_EQ(l.use(name).gpus, sum.gpus);
-            ASSERT_LE(sum.gpus, f.limit.gpus);
-            if (f.limit.cpus > 0) {
-                ASSERT_LE(sum.cpus, f.limit.cpus + 1e-6);
+                if (t == team_name) sum = {sum.cpus + n.cpus, sum.gpus + n.gpus};
+            ASSERT_NEAR(accounting.use(team_name).cpus, sum.cpus, 1e-6);
+            ASSERT_EQ(accounting.use(team_name).gpus, sum.gpus);
+            ASSERT_LE(sum.gpus, quota.limit.gpus);
+            if (quota.limit.cpus > 0) {
+                ASSERT_LE(sum.cpus, quota.limit.cpus + 1e-6);
             }
         }
     }
 }
 
-TEST(QuotaTest, JobIsGuaranteedIfItFitsBesideItsTeamsEarlierJobs) {
-    QuotaAccounting l(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
-    l.job_opened(of_team("run-2", "red", 2, 20));
-    l.job_opened(of_team("run-1", "red", 1, 10));
-    l.job_opened(of_team("run-3", "red", 3, 30));
-    l.job_opened(of_team("run-4", "red", 1, 40));
-    l.job_opened(of_team("run-5", "blue", 1, 5));
-    EXPECT_TRUE(l.guaranteed("red", "run-1"));
-    EXPECT_TRUE(l.guaranteed("red", "run-2"));
-    EXPECT_FALSE(l.guaranteed("red", "run-3"));
-    EXPECT_FALSE(l.guaranteed("red", "run-4")) << "it would fit, but for the one before it";
-    EXPECT_FALSE(l.guaranteed("blue", "run-5"));
-    EXPECT_TRUE(l.below_guarantee("red"));
-    l.job_closed(of_team("run-2", "red", 2, 20));
-    EXPECT_TRUE(l.guaranteed("red", "run-3"));
-    EXPECT_FALSE(l.guaranteed("red", "run-4"));
-    for (int i = 0; i < 4; ++i) l.task_placed("red", {4, 1, 10});
-    EXPECT_FALSE(l.below_guarantee("red"));
+TEST(QuotaTest, JobIsGuaranteedIfItFitsWithItsTeamsEarlierJobs) {
+    QuotaAccounting accounting(Table{{"red", {{}, {0, 4}}}, {"blue", {}}});
+    accounting.job_opened(of_team("run-2", "red", 2, 20));
+    accounting.job_opened(of_team("run-1", "red", 1, 10));
+    accounting.job_opened(of_team("run-3", "red", 3, 30));
+    accounting.job_opened(of_team("run-4", "red", 1, 40));
+    accounting.job_opened(of_team("run-5", "blue", 1, 5));
+    EXPECT_TRUE(accounting.guaranteed("red", "run-1"));
+    EXPECT_TRUE(accounting.guaranteed("red", "run-2"));
+    EXPECT_FALSE(accounting.guaranteed("red", "run-3"));
+    EXPECT_FALSE(accounting.guaranteed("red", "run-4")) << "it would fit, but for the one before it";
+    EXPECT_FALSE(accounting.guaranteed("blue", "run-5"));
+    EXPECT_TRUE(accounting.below_guarantee("red"));
+    accounting.job_closed(of_team("run-2", "red", 2, 20));
+    EXPECT_TRUE(accounting.guaranteed("red", "run-3"));
+    EXPECT_FALSE(accounting.guaranteed("red", "run-4"));
+    for (int i = 0; i < 4; ++i) accounting.task_placed("red", {4, 1, 10});
+    EXPECT_FALSE(accounting.below_guarantee("red"));
 }
 
 TEST(QuotaTest, NoTeamIsPreemptedBelowItsOwnGuarantee) {
-    QuotaAccounting l(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
-    for (int i = 0; i < 3; ++i) l.task_placed("blue", {4, 1, 10});
-    EXPECT_TRUE(l.may_preempt("blue", {}, {4, 1, 10}));
-    EXPECT_FALSE(l.may_preempt("blue", {4, 1}, {4, 1, 10}));
-    l.task_placed("red", {4, 1, 10});
-    EXPECT_TRUE(l.may_preempt("red", {}, {4, 1, 10}));
+    QuotaAccounting accounting(Table{{"blue", {{}, {0, 2}}}, {"red", {}}});
+    for (int i = 0; i < 3; ++i) accounting.task_placed("blue", {4, 1, 10});
+    EXPECT_TRUE(accounting.may_preempt("blue", {}, {4, 1, 10}));
+    EXPECT_FALSE(accounting.may_preempt("blue", {4, 1}, {4, 1, 10}));
+    accounting.task_placed("red", {4, 1, 10});
+    EXPECT_TRUE(accounting.may_preempt("red", {}, {4, 1, 10}));
 }
 
-TEST(QuotaTest, StrictestFigureHoldsWhileTablesDiffer) {
+TEST(QuotaTest, StrictestQuotaAppliesWhileTablesDiffer) {
     const Table old{{"red", {{0, 10}, {8, 4}}}, {"blue", {{20, 0}, {}}}};
     const Table fresh{{"red", {{30, 6}, {8, 6}}}, {"green", {{1, 1}, {}}}};
     const Table both{{"red", {{30, 6}, {8, 4}}}, {"blue", {{20, 0}, {}}}, {"green", {{1, 1}, {}}}};
@@ -118,154 +118,156 @@
     EXPECT_EQ(quota::strictest(fresh, old), both);
 }
 
-TEST(QuotaTest, AboveALoweredLimitNothingIsStoppedAndNothingStarts) {
-    SchedulerHarness w;
-    w.settings = with_teams({team("team", 0, 6)});
-    w.elect();
-    w.accept(of_team("run-1", "team", 8, 1));
-    w.settle();
-    Worker m;
-    m.type = "large";
-    w.heartbeat(m);
-    w.heartbeat(m);
-    ASSERT_TRUE(w.place());
-    EXPECT_EQ(w.leader->job("run-1")->placed, 6u);
-    w.heartbeat(m);
-    m.run_all();
-    w.leader->set_teams(quota::table_of({team("team", 0, 4)}));
-    EXPECT_TRUE(w.heartbeat(m).empty()) << "what runs goes on";
-    m.finish("run-1", 0, model::ExitReason::done);
-    w.heartbeat(m);
-    w.pass(Seconds(5));
-    EXPECT_FALSE(w.place());
-    for (const std::uint32_t i : {1u, 2u}) m.finish("run-1", i, model::ExitReason::done);
-    w.heartbeat(m);
-    w.pass(Seconds(5));
-    EXPECT_TRUE(w.place());
-    EXPECT_EQ(w.leader->job("run-1")->placed, 4u);
+TEST(QuotaTest, TasksAboveALoweredLimitKeepRunningAndNoneStarts) {
+    SchedulerHarness harness;
+    harness.settings = with_teams({team("team", 0, 6)});
+    harness.elect();
+    harness.accept(of_team("run-1", "team", 8, 1));
+    harness.settle();
+    Worker worker;
+    worker.type = "large";
+    harness.heartbeat(worker);
+    harness.heartbeat(worker);
+    ASSERT_TRUE(harness.place());
+    EXPECT_EQ(harness.leader->job("run-1")->placed, 6u);
+    harness.heartbeat(worker);
+    worker.run_all();
+    harness.leader->set_teams(quota::table_of({team("team", 0, 4)}));
+    EXPECT_TRUE(harness.heartbeat(worker).empty()) << "what runs goes on";
+    worker.finish("run-1", 0, model::ExitReason::done);
+    harness.heartbeat(worker);
+    harness.pass(Seconds(5));
+    EXPECT_FALSE(harness.place());
+    for (const std::uint32_t i : {1u, 2u}) worker.finish("run-1", i, model::ExitReason::done);
+    harness.heartbeat(worker);
+    harness.pass(Seconds(5));
+    EXPECT_TRUE(harness.place());
+    EXPECT_EQ(harness.leader->job("run-1")->placed, 4u);
 }
 
-// A machine that falls silent still holds what it may hold.
+// Tasks on a silent machine may still run, so they count until the cloud confirms that the machine is gone.
 TEST(QuotaTest, SilentMachineCountsUntilTheCloudConfirmsItGone) {
-    SchedulerHarness w;
-    w.settings = with_teams({team("team", 0, 2)});
-    w.elect();
-    w.accept(of_team("run-1", "team", 4, 1));
-    w.settle();
+    SchedulerHarness harness;
+    harness.settings = with_teams({team("team", 0, 2)});
+    harness.elect();
+    harness.accept(of_team("run-1", "team", 4, 1));
+    harness.settle();
     Worker silent, other;
     other.name = "n-000002";
-    w.heartbeat(silent);
-    w.heartbeat(silent);
-    ASSERT_TRUE(w.place());
-    w.heartbeat(silent);
-    w.heartbeat(other);
-    w.heartbeat(other);
-    w.pass(Seconds(100));
-    w.heartbeat(other);
-    EXPECT_FALSE(w.place());
-    // Under the next leader as well, which knows the placements from the records only.
-    w.elect();
-    w.heartbeat(other);
-    w.heartbeat(other);
-    w.pass(Seconds(100));
-    w.heartbeat(other);
-    EXPECT_FALSE(w.place());
-    w.leader->machines_released({silent.name}, w.now);
-    EXPECT_TRUE(w.place());
-    EXPECT_EQ(w.machine_of("run-1", 0), other.name);
+    harness.heartbeat(silent);
+    harness.heartbeat(silent);
+    ASSERT_TRUE(harness.place());
+    harness.heartbeat(silent);
+    harness.heartbeat(other);
+    harness.heartbeat(other);
+    harness.pass(Seconds(100));
+    harness.heartbeat(other);
+    EXPECT_FALSE(harness.place());
+    // The same holds under the next leader, which knows the placements from the records only.
+    harness.elect();
+    harness.heartbeat(other);
+    harness.heartbeat(other);
+    harness.pass(Seconds(100));
+    harness.heartbeat(other);
+    EXPECT_FALSE(harness.place());
+    harness.leader->machines_released({silent.name}, harness.now);
+    EXPECT_TRUE(harness.place());
+    EXPECT_EQ(harness.machine_of("run-1", 0), other.name);
 }
 
 TEST(QuotaTest, GuaranteedJobsPrecedeOtherTeamsOfAnyPriority) {
-    SchedulerHarness w;
-    w.settings = with_teams({team("team", 0), team("sure", 2)});
-    w.elect();
+    SchedulerHarness harness;
+    harness.settings = with_teams({team("team", 0), team("sure", 2)});
+    harness.elect();
     auto high = of_team("run-1", "team", 2, 1);
     high.priority = model::Priority::high;
-    w.accept(high);
+    harness.accept(high);
     auto low = of_team("run-2", "sure", 2, 2);
     low.priority = model::Priority::idle;
-    w.accept(low);
-    w.settle();
-    Worker m;
-    w.heartbeat(m);
-    w.heartbeat(m);
-    ASSERT_TRUE(w.place());
-    EXPECT_EQ(w.machine_of("run-2", 0), m.name);
-    EXPECT_EQ(w.machine_of("run-2", 1), m.name);
-    EXPECT_EQ(w.machine_of("run-1", 0), "");
+    harness.accept(low);
+    harness.settle();
+    Worker worker;
+    harness.heartbeat(worker);
+    harness.heartbeat(worker);
+    ASSERT_TRUE(harness.place());
+    EXPECT_EQ(harness.machine_of("run-2", 0), worker.name);
+    EXPECT_EQ(harness.machine_of("run-2", 1), worker.name);
+    EXPECT_EQ(harness.machine_of("run-1", 0), "");
 }
 
 TEST(QuotaTest, GuaranteePreemptsOnlyWhatExceedsOtherGuarantees) {
-    SchedulerHarness w;
-    w.settings = with_teams({team("team", 0), team("sure", 2)});
-    w.elect();
+    SchedulerHarness harness;
+    harness.settings = with_teams({team("team", 0), team("sure", 2)});
+    harness.elect();
     auto big = of_team("run-1", "team", 4, 1);
     big.priority = model::Priority::high;
-    w.accept(big);
-    w.settle();
-    Worker m1, m2;
-    m2.name = "n-000002";
-    for (auto* m : {&m1, &m2, &m1, &m2}) w.heartbeat(*m);
-    ASSERT_TRUE(w.place());
-    for (auto* m : {&m1, &m2}) {
-        w.heartbeat(*m);
-        m->run_all();
-        w.heartbeat(*m);
+    harness.accept(big);
+    harness.settle();
+    Worker first_worker, second_worker;
+    second_worker.name = "n-000002";
+    for (auto* worker : {&first_worker, &second_worker, &first_worker, &second_worker}) harness.heartbeat(*worker);
+    ASSERT_TRUE(harness.place());
+    for (auto* worker : {&first_worker, &second_worker}) {
+        harness.heartbeat(*worker);
+        worker->run_all();
+        harness.heartbeat(*worker);
     }
     auto low = of_team("run-2", "sure", 2, 2);
     low.priority = model::Priority::idle;
-    w.accept(low);
-    w.settle();
+    harness.accept(low);
+    harness.settle();
     unsigned stopped = 0;
     for (int round = 0; round < 3; ++round) {
-        for (auto* m : {&m1, &m2}) {
-            for (const auto& o : w.heartbeat(*m)) stopped += o.type == CommandType::kill;
-            w.heartbeat(*m);
+        for (auto* worker : {&first_worker, &second_worker}) {
+            for (const auto& command : harness.heartbeat(*worker)) stopped += command.type == CommandType::kill;
+            harness.heartbeat(*worker);
         }
-        w.place();
-        w.pass(Seconds(1));
+        harness.place();
+        harness.pass(Seconds(1));
     }
     EXPECT_EQ(stopped, 2u);
-    EXPECT_NE(w.machine_of("run-2", 0), "");
-    EXPECT_NE(w.machine_of("run-2", 1), "");
-    EXPECT_FALSE(w.leader->teams().below_guarantee("sure"));
-    // And it is not stopped in turn, by whoever has a higher rank and no guarantee.
+    EXPECT_NE(harness.machine_of("run-2", 0), "");
+    EXPECT_NE(harness.machine_of("run-2", 1), "");
+    EXPECT_FALSE(harness.leader->teams().below_guarantee("sure"));
+    // The guaranteed job is not preempted in turn by jobs of a higher priority without a guarantee.
     for (int round = 0; round < 5; ++round) {
-        w.pass(Seconds(3));
-        for (auto* m : {&m1, &m2})
-            for (const auto& o : w.heartbeat(*m)) EXPECT_NE(o.type, CommandType::kill) << o.id.uid;
-        w.place();
+        harness.pass(Seconds(3));
+        for (auto* worker : {&first_worker, &second_worker})
+            for (const auto& command : harness.heartbeat(*worker))
+                EXPECT_NE(command.type, CommandType::kill) << command.id.uid;
+        harness.place();
     }
 }
 
 TEST(QuotaTest, TeamWithinItsGuaranteeIsNotPreempted) {
-    SchedulerHarness w;
-    w.settings = with_teams({team("team", 2), team("sure", 2)});
-    w.elect();
-    w.accept(of_team("run-1", "team", 2, 1));
-    w.settle();
-    Worker m;
-    w.heartbeat(m);
-    w.heartbeat(m);
-    ASSERT_TRUE(w.place());
-    w.heartbeat(m);
-    m.run_all();
-    w.heartbeat(m);
+    SchedulerHarness harness;
+    harness.settings = with_teams({team("team", 2), team("sure", 2)});
+    harness.elect();
+    harness.accept(of_team("run-1", "team", 2, 1));
+    harness.settle();
+    Worker worker;
+    harness.heartbeat(worker);
+    harness.heartbeat(worker);
+    ASSERT_TRUE(harness.place());
+    harness.heartbeat(worker);
+    worker.run_all();
+    harness.heartbeat(worker);
     auto high = of_team("run-2", "sure", 2, 2);
     high.priority = model::Priority::critical;
-    w.accept(high);
-    w.settle();
+    harness.accept(high);
+    harness.settle();
     for (int round = 0; round < 4; ++round) {
-        for (const auto& o : w.heartbeat(m)) EXPECT_NE(o.type, CommandType::kill);
-        w.place();
-        w.pass(Seconds(2));
+        for (const auto& command : harness.heartbeat(worker)) EXPECT_NE(command.type, CommandType::kill);
+        harness.place();
+        harness.pass(Seconds(2));
     }
-    EXPECT_EQ(w.machine_of("run-1", 0), m.name);
-    EXPECT_FALSE(w.leader->scale_out(w.now).empty()) << "it gets a machine of its own";
+    EXPECT_EQ(harness.machine_of("run-1", 0), worker.name);
+    EXPECT_FALSE(harness.leader->scale_out(harness.now).empty()) << "it gets a machine of its own";
 }
 
-// A roll of all controllers with a new table: the leader goes by the strictest until the last has come back.
-TEST(QuotaTest, ChangedLimitsHoldFromTheFirstNewControllerToTheLastOldOne) {
+// A rolling restart of all controllers with a new table: the leader applies the strictest limits until the last
+// controller has restarted.
+TEST(QuotaTest, StrictestLimitsApplyDuringARollingRestart) {
     net::asio::io_context io;
     FakeStore store;
     auto old_settings = with_teams({team("team", 0, 8)});
@@ -279,13 +281,13 @@
     fresh.teams = {team("team", 0, 3)};
     state::RecordFormat record_format(old_settings);
     std::vector<double> limits;
-    const auto told = [&](const quota::Table& t) { limits.push_back(t.at("team").limit.gpus); };
+    const auto table_changed = [&](const quota::Table& t) { limits.push_back(t.at("team").limit.gpus); };
     const auto settle = [&] {
         io.restart();
         while (io.poll() > 0) {
         }
     };
-    election::Members leader(store, old_settings, record_format, told);
+    election::Members leader(store, old_settings, record_format, table_changed);
     net::asio::co_spawn(io, leader.run(), net::asio::detached);
     settle();
     {
@@ -303,9 +305,10 @@
         while (second.poll() > 0) {
         }
     }
-    // The key of a controller that is down stays, and so does what it says. Whoever begins now reads both.
+    // The key of a stopped controller stays in the store, with its table. A controller that starts now reads both
+    // tables.
     net::asio::io_context third;
-    election::Members again(store, old_settings, record_format, told);
+    election::Members again(store, old_settings, record_format, table_changed);
     net::asio::co_spawn(third, again.run(), net::asio::detached);
     while (third.poll() > 0) {
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -13,20 +13,22 @@
 
 namespace {
 
-const std::string good =
+const std::string valid_submission =
     R"({"uid":"run-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"high","shards":16,)"
     R"("cores":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07","image_gb":6.2,"hosttypes":["g8"],)"
     R"("hall":null,"one_zone":true,"scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,)"
     R"("flush_s":4.0,"due_s":900.0,"unheard_of":[1,{}]})";
 
-std::string with(const std::string& from, const std::string& to) {
-    auto s = good;
-    const auto at = s.find(from);
+// valid_submission with the first `from` replaced by `to`.
+std::string replaced(const std::string& from, const std::string& to) {
+    auto body = valid_submission;
+    const auto at = body.find(from);
     EXPECT_NE(at, std::string::npos) << from;
-    return s.replace(at, from.size(), to);
+    return body.replace(at, from.size(), to);
 }
 
-std::string complaint(const std::string& body) {
+// The text of the DecodeError for the body; empty if it is valid.
+std::string parse_error(const std::string& body) {
     try {
         wire::parse_submission(wire::parse_object(body));
     } catch (const wire::DecodeError& e) {
@@ -37,8 +39,8 @@
 
 }  // namespace
 
-TEST(WireTest, ValidSubmissionIsParsedAndSurvivesItsRecord) {
-    const auto s = wire::parse_submission(wire::parse_object(good));
+TEST(WireTest, ValidSubmissionRoundTripsThroughItsRecord) {
+    const auto s = wire::parse_submission(wire::parse_object(valid_submission));
     EXPECT_EQ(s.uid, "run-000412");
     EXPECT_EQ(s.tasks, 16u);
     EXPECT_TRUE(s.one_zone);
@@ -50,60 +52,61 @@
     EXPECT_EQ(again.kind, model::JobKind::gang);
 }
 
-TEST(WireTest, MalformedSubmissionsAreNamedByFieldAndReason) {
+TEST(WireTest, ErrorsOfMalformedSubmissionsNameTheField) {
     const std::pair<std::string, std::string> table[] = {
         {"", "body"},
         {"nonsense", "body"},
         {"[1,2]", "body"},
         {"\"text\"", "body"},
         {"null", "body"},
-        {good + "}", "body"},
+        {valid_submission + "}", "body"},
         {std::string(200, '['), "body"},
-        {with("16", "0"), "shards"},
-        {with("16", "100001"), "shards"},
-        {with("16", "-1"), "shards"},
-        {with("16", "1.5"), "shards"},
-        {with("16", "\"16\""), "shards"},
-        {with("16", "1e400"), ""},
-        {with("8.0", "-8.0"), "cores"},
-        {with("8.0", "NaN"), "body"},
-        {with("8.0", "1e300"), "cores"},
-        {with("8.0", "null"), "cores"},
-        {with("64.0", "true"), "mem_gb"},
-        {with("\"run-000412\"", "\"\""), "uid"},
-        {with("\"run-000412\"", "\"job-1\""), "uid"},
-        {with("\"run-000412\"", "\"run-1/2\""), "uid"},
-        {with("\"run-000412\"", "\"run-1 2\""), "uid"},
-        {with("\"run-000412\"", "7"), "uid"},
-        {with("\"ensemble\"", "\"gang\""), "shape"},
-        {with("\"high\"", "3"), "rank"},
-        {with("[\"g8\"]", "[]"), "hosttypes"},
-        {with("[\"g8\"]", "[7]"), "hosttypes"},
-        {with("[\"g8\"]", "\"g8\""), "hosttypes"},
-        {with("true,\"scatter\"", "\"yes\",\"scatter\""), "one_zone"},
-        {with("\"guess_s\":240.0,", ""), "guess_s"},
-        {with("\"img-07\"", "\"" + std::string(300, 'x') + "\""), "bundle"},
-        {with("900.0", "-1"), "due_s"},
+        {replaced("16", "0"), "shards"},
+        {replaced("16", "100001"), "shards"},
+        {replaced("16", "-1"), "shards"},
+        {replaced("16", "1.5"), "shards"},
+        {replaced("16", "\"16\""), "shards"},
+        {replaced("16", "1e400"), ""},
+        {replaced("8.0", "-8.0"), "cores"},
+        {replaced("8.0", "NaN"), "body"},
+        {replaced("8.0", "1e300"), "cores"},
+        {replaced("8.0", "null"), "cores"},
+        {replaced("64.0", "true"), "mem_gb"},
+        {replaced("\"run-000412\"", "\"\""), "uid"},
+        {replaced("\"run-000412\"", "\"job-1\""), "uid"},
+        {replaced("\"run-000412\"", "\"run-1/2\""), "uid"},
+        {replaced("\"run-000412\"", "\"run-1 2\""), "uid"},
+        {replaced("\"run-000412\"", "7"), "uid"},
+        {replaced("\"ensemble\"", "\"gang\""), "shape"},
+        {replaced("\"high\"", "3"), "rank"},
+        {replaced("[\"g8\"]", "[]"), "hosttypes"},
+        {replaced("[\"g8\"]", "[7]"), "hosttypes"},
+        {replaced("[\"g8\"]", "\"g8\""), "hosttypes"},
+        {replaced("true,\"scatter\"", "\"yes\",\"scatter\""), "one_zone"},
+        {replaced("\"guess_s\":240.0,", ""), "guess_s"},
+        {replaced("\"img-07\"", "\"" + std::string(300, 'x') + "\""), "bundle"},
+        {replaced("900.0", "-1"), "due_s"},
     };
     for (const auto& [body, field] : table) {
-        const auto why = complaint(body);
-        EXPECT_FALSE(why.empty()) << body;
-        EXPECT_TRUE(why.starts_with(field)) << body << " gave " << why;
+        const auto error = parse_error(body);
+        EXPECT_FALSE(error.empty()) << body;
+        EXPECT_TRUE(error.starts_with(field)) << body << " gave " << error;
     }
 }
 
-// Only what may be null may be omitted: three flags that were left out were taken for false, and the job accepted.
-TEST(WireTest, MissingOrWronglyTypedFieldIsNamed) {
-    const auto sound = wire::parse_object(good);
+// Fields that may not be null are required. Guards against omitted flags being read as false: a job without three of
+// its flags was accepted.
+TEST(WireTest, ErrorsOfMissingOrWronglyTypedFieldsNameTheField) {
+    const auto valid = wire::parse_object(valid_submission);
     const std::set<std::string_view> may_be_null{"hosttypes", "hall", "due_s", "prereqs", "unheard_of"};
-    for (const auto& [field, value] : sound) {
+    for (const auto& [field, value] : valid) {
         if (field == "unheard_of") continue;
         const std::string name(field);
         const auto changed = [&](std::optional<boost::json::value> other) {
-            auto body = sound;
+            auto body = valid;
             body.erase(name);
             if (other) body[name] = *other;
-            return complaint(boost::json::serialize(body));
+            return parse_error(boost::json::serialize(body));
         };
         for (const auto& absent : {std::optional<boost::json::value>(), std::optional<boost::json::value>(nullptr)})
             EXPECT_EQ(changed(absent), may_be_null.contains(name) ? "" : name + ": missing");
@@ -135,7 +138,7 @@
     EXPECT_THROW(wire::parse_heartbeat("{}"), wire::DecodeError);
 }
 
-TEST(WireTest, MachineTypesSurviveTheirRecord) {
+TEST(WireTest, MachineTypesRoundTripThroughTheirRecord) {
     const auto types = wire::parse_catalog(
         R"({"hosttypes":[{"name":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,"pull_gb_per_s":1.0,)"
         R"("price":12.0,"market_price":4.5,"boot_s":45,"halls":["a","b"]}]})");
@@ -146,7 +149,7 @@
     EXPECT_EQ(again[0].boot, types[0].boot);
 }
 
-TEST(WireTest, TaskRangesFitIntoAValueInTheWorstCase) {
+TEST(WireTest, TaskRangesFitIntoOneValueInTheWorstCase) {
     scheduler::Job job;
     job.spec.tasks = 100'000;
     job.spec.uid = "run-1";
