--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -1,4 +1,5 @@
-// What controllers tell each other, and the bodies that users, workers and the cloud send and are sent.
+// Messages between controllers, and the bodies of requests and responses of users, workers and the cloud: checks that
+// their bytes, and the results of parsing them, do not change.
 #include "peer/peer_connections.hpp"
 #include "support/golden_support.hpp"
 #include "wire/json.hpp"
@@ -7,7 +8,7 @@
 
 namespace {
 
-peer::StatusMessage full_beat() {
+peer::StatusMessage full_status_message() {
     peer::StatusMessage status;
     status.member = "hearth-0";
     status.leader = "hearth-1";
@@ -40,15 +41,15 @@
     return status;
 }
 
-// The flags that full_beat leaves out, so that no two can be taken for each other.
-peer::StatusMessage other_flags(bool leading, bool whole) {
+// The flags that full_status_message() does not set. Each is set in a message of its own, so that swapped flags show.
+peer::StatusMessage flags_only(bool leading, bool complete) {
     peer::StatusMessage status;
     status.leading = leading;
-    status.cancellations.complete = whole;
+    status.cancellations.complete = complete;
     return status;
 }
 
-model::Heartbeat full_report() {
+model::Heartbeat full_heartbeat() {
     model::Heartbeat report;
     report.machine = "n-000231";
     report.addr = "10.1.0.232:9000";
@@ -102,7 +103,7 @@
     message.reports.resize(2);
     message.reports[0].number = 9'000'000'001;
     message.reports[0].handle = 41;
-    message.reports[0].report = full_report();
+    message.reports[0].report = full_heartbeat();
     message.reports[1].number = 9'000'000'002;
     message.repeated.resize(1);
     message.repeated[0].number = 9'000'000'003;
@@ -121,7 +122,7 @@
     return message;
 }
 
-// A report as it was read, one line for the worker and one for each task.
+// A decoded heartbeat: one line for the worker and one for each task.
 std::string print(const model::Heartbeat& report) {
     std::string out = report.machine + " at " + report.addr + ", " + report.type + " in " + report.zone +
                       (report.spot ? ", may be taken, " : ", ordinary, ") + std::to_string(report.incarnation) + " " +
@@ -148,8 +149,8 @@
 
 }  // namespace
 
-// The numbers that stand for words of the protocol in relayed reports, and in the golden texts here.
-TEST(GoldenTest, NumbersOfStatusesCausesVerbsAndStatesAreAsBefore) {
+// The numbers of enumerators in relayed heartbeats and in the golden texts of these tests.
+TEST(GoldenTest, EnumeratorsKeepTheirNumbers) {
     const auto number = [](auto value) { return static_cast<int>(value); };
     EXPECT_EQ(number(model::TaskStatus::fetching), 0);
     EXPECT_EQ(number(model::TaskStatus::exited), 4);
@@ -164,35 +165,37 @@
     EXPECT_EQ(number(peer::RelayOutcome::unknown_handle), 2);
 }
 
-// A beat with every field, and each flag that it leaves out by itself.
-TEST(GoldenTest, BeatsAreWrittenAndReadAsBefore) {
-    expect_golden("beat_full.bin", peer::encode(full_beat()));
-    expect_golden("beat_full.bin", peer::encode(peer::decode_status(golden("beat_full.bin"))));
-    expect_golden("beat_leading.bin", peer::encode(other_flags(true, false)));
-    expect_golden("beat_leading.bin", peer::encode(peer::decode_status(golden("beat_leading.bin"))));
-    expect_golden("beat_whole.bin", peer::encode(other_flags(false, true)));
-    expect_golden("beat_whole.bin", peer::encode(peer::decode_status(golden("beat_whole.bin"))));
-    const auto read = peer::decode_status(golden("beat_full.bin"));
+// A status message with every field, and one for each flag that it does not set.
+TEST(GoldenTest, StatusMessagesKeepTheirFormat) {
+    expect_golden("status_message_full.bin", peer::encode(full_status_message()));
+    expect_golden("status_message_full.bin", peer::encode(peer::decode_status(golden("status_message_full.bin"))));
+    expect_golden("status_message_leading.bin", peer::encode(flags_only(true, false)));
+    expect_golden("status_message_leading.bin",
+                  peer::encode(peer::decode_status(golden("status_message_leading.bin"))));
+    expect_golden("status_message_complete.bin", peer::encode(flags_only(false, true)));
+    expect_golden("status_message_complete.bin",
+                  peer::encode(peer::decode_status(golden("status_message_complete.bin"))));
+    const auto read = peer::decode_status(golden("status_message_full.bin"));
     EXPECT_TRUE(read.store_healthy && read.relays);
     EXPECT_FALSE(read.leading || read.cancellations.complete);
-    EXPECT_EQ(read.term, full_beat().term);
+    EXPECT_EQ(read.term, full_status_message().term);
     EXPECT_EQ(read.connection, 0u);
 }
 
-// A relayed message with reports in full and repeated, and answers of each kind with each type.
-TEST(GoldenTest, RelayedMessagesAreWrittenAndReadAsBefore) {
+// A relay message with full and repeated heartbeats, and responses with each outcome and each type of command.
+TEST(GoldenTest, RelayMessagesKeepTheirFormat) {
     expect_golden("relay_full.bin", peer::encode(full_relay()));
     const auto read = peer::decode_relay(golden("relay_full.bin"));
     expect_golden("relay_full.bin", peer::encode(read));
     ASSERT_EQ(read.reports.size(), 2u);
-    EXPECT_EQ(read.reports[0].report, full_report());
+    EXPECT_EQ(read.reports[0].report, full_heartbeat());
     EXPECT_FALSE(read.reports[1].report.termination_notice);
     expect_golden("relay_empty.bin", peer::encode(peer::RelayMessage()));
     EXPECT_TRUE(peer::decode_relay(golden("relay_empty.bin")).empty());
 }
 
-// A user's submission, with every field and with none that may be absent.
-TEST(GoldenTest, SubmissionsAreUnderstoodAsBefore) {
+// Submissions of users: with every field, and without optional fields.
+TEST(GoldenTest, SubmissionsAreParsedAsInTheGoldenFiles) {
     for (const std::string name : {"full", "bare"}) {
         const auto spec = wire::parse_submission(golden_object("asked_submission_" + name + ".json"));
         expect_golden_line("asked_submission_" + name + "_read.json",
@@ -208,8 +211,8 @@
     EXPECT_TRUE(full.one_zone && full.spot && !full.spread);
 }
 
-// Each field in turn is left out, null, of another kind or out of range; what a user reads then.
-TEST(GoldenTest, ComplaintsAboutSubmissionsAreAsBefore) {
+// The error texts that users get if a field is missing, null, of another type or out of range.
+TEST(GoldenTest, SubmissionErrorsKeepTheirTexts) {
     const auto whole = golden_object("asked_submission_full.json");
     const std::vector<boost::json::value> wrong{nullptr, "", -1, 0.5, 1e300, boost::json::array(), "nonsense", false};
     std::string out;
@@ -222,15 +225,15 @@
             try {
                 wire::parse_submission(body);
                 out += "taken\n";
-            } catch (const wire::DecodeError& complaint) {
-                out += std::string(complaint.what()) + "\n";
+            } catch (const wire::DecodeError& error) {
+                out += std::string(error.what()) + "\n";
             }
         }
-    expect_golden("complaints_about_submissions.txt", out);
+    expect_golden("submission_errors.txt", out);
 }
 
-// What users are answered.
-TEST(GoldenTest, AnswersToUsersAreAsBefore) {
+// The bodies of responses to users.
+TEST(GoldenTest, UserResponsesKeepTheirFormat) {
     std::string out = wire::submission_response("run-000412", "pending") + "\n";
     out += wire::poll_response("run-000412", wire::job_state_name(model::JobState::done), 3, 13) + "\n";
     for (const auto state : {model::JobState::open, model::JobState::done, model::JobState::cancelled}) {
@@ -238,27 +241,27 @@
         EXPECT_EQ(wire::job_state_from(wire::job_state_name(state)), state);
     }
     out += wire::error_body("owner: \"nobody\" is unknown") + "\n";
-    expect_golden("answers_to_users.txt", out);
+    expect_golden("user_responses.txt", out);
 }
 
-// A worker's report with each status and cause, with a cause that nobody knows, and with as little as there can be.
-TEST(GoldenTest, WorkersReportsAreUnderstoodAsBefore) {
+// Heartbeats of workers: with each status and cause and an unknown cause, and without optional fields.
+TEST(GoldenTest, HeartbeatsAreParsedAsInTheGoldenFiles) {
     for (const std::string name : {"full", "bare"})
         expect_golden("asked_report_" + name + "_read.txt",
                       print(wire::parse_heartbeat(golden("asked_report_" + name + ".json"))));
 }
 
-// What workers are answered and sent, with each type.
-TEST(GoldenTest, AnswersToWorkersAreAsBefore) {
+// The bodies of responses and direct commands to workers, with each type of command.
+TEST(GoldenTest, WorkerResponsesKeepTheirFormat) {
     std::string out = wire::heartbeat_response(1'700'000'000'041, every_command()) + "\n";
     out += wire::heartbeat_response(1, {}) + "\n";
     out += wire::direct_commands(1'700'000'000'041, 2, every_command()) + "\n";
     out += wire::redirect_body("hearth-2") + "\n" + wire::redirect_body("") + "\n";
-    expect_golden("answers_to_workers.txt", out);
+    expect_golden("worker_responses.txt", out);
 }
 
-// What the cloud says of machine types and of machines.
-TEST(GoldenTest, TheCloudsAnswersAreUnderstoodAsBefore) {
+// The cloud's catalog, its list of machines and its response to a launch request.
+TEST(GoldenTest, CloudResponsesAreParsedAsInTheGoldenFiles) {
     const auto types = wire::parse_catalog(golden("given_catalogue.json"));
     expect_golden_line("given_catalogue_read.json", boost::json::serialize(wire::catalog_record(types)));
     for (const std::string name : {"first", "last"})
@@ -267,10 +270,10 @@
     EXPECT_EQ(wire::parse_launched(golden("given_rented.json")), (std::vector<std::string>{"n-000231", "n-000232"}));
 }
 
-// What the cloud is asked.
-TEST(GoldenTest, RequestsToTheCloudAreAsBefore) {
-    expect_golden_line("asked_of_the_cloud.txt", wire::launch_body("r-17", "g8", "a", true, 12) + "\n" +
-                                                     wire::terminate_body({"n-000231", "n-000232"}));
+// The bodies of launch and terminate requests to the cloud.
+TEST(GoldenTest, CloudRequestsKeepTheirFormat) {
+    expect_golden_line("cloud_requests.txt", wire::launch_body("r-17", "g8", "a", true, 12) + "\n" +
+                                                 wire::terminate_body({"n-000231", "n-000232"}));
 }
 
 }  // namespace flintdale::test
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -1,4 +1,4 @@
-// Records of jobs and of machines in the state service, and snapshots: their bytes stay what they were.
+// Records of jobs and machines in the state service, and snapshots: checks that their bytes do not change.
 #include <filesystem>
 #include <fstream>
 
@@ -16,21 +16,21 @@
 
 std::string print(const boost::json::object& object) { return boost::json::serialize(object); }
 
-// In which everybody reads the newest format and values are short.
-state::RecordFormat newest_form(const config::Settings& settings) {
+// The record format once every controller reads the newest format: the newest format is written, and its limits apply.
+state::RecordFormat newest_record_format(const config::Settings& settings) {
     state::RecordFormat record_format(settings);
     record_format.all_read(state::newest_format);
     return record_format;
 }
 
-void expect_first_record(const std::string& name, const model::JobSpec& spec) {
+void expect_first_work_record(const std::string& name, const model::JobSpec& spec) {
     expect_golden_line(name, print(scheduler::first_work_record(spec)));
     const auto read = scheduler::spec_from_records(golden_object(name), {});
     ASSERT_TRUE(read);
     expect_golden_line(name, print(scheduler::first_work_record(*read)));
 }
 
-// 600 tasks: done, on two machines, lost again, and some never placed.
+// A job of 600 tasks: some done, some placed on two machines, some waiting again after a loss, some never placed.
 scheduler::Job long_job(scheduler::Machine& first, scheduler::Machine& second) {
     scheduler::Job job;
     job.spec = bare_submission();
@@ -48,7 +48,7 @@
     return job;
 }
 
-std::string all_work(const scheduler::Job& job) {
+std::string work_records_of(const scheduler::Job& job) {
     std::vector<state::Change> out;
     for (std::uint32_t chunk = 0; chunk < job.chunks.size(); ++chunk) {
         state::Change change;
@@ -59,8 +59,8 @@
     return lines_of(out);
 }
 
-// Each golden record's ranges of tasks, read and written again.
-std::string ranges_again(const std::string& name) {
+// The golden records with their task ranges decoded and encoded again.
+std::string with_ranges_reencoded(const std::string& name) {
     auto changes = changes_in(name);
     for (auto& change : changes) {
         auto& record = change.value->as_object();
@@ -69,25 +69,25 @@
     return lines_of(changes);
 }
 
-std::string outcomes_of(const state::RecordFormat& record_format) {
+std::string outcome_records(const state::RecordFormat& record_format) {
     std::string out;
     const auto spec = wire::spec_to_record(full_submission());
     for (const auto state : {model::JobState::done, model::JobState::cancelled})
         for (const auto at : {std::int64_t(0), std::int64_t(1'700'000'000'456)})
-            for (const auto* kept : {&spec, static_cast<const boost::json::object*>(nullptr)}) {
+            for (const auto* kept_spec : {&spec, static_cast<const boost::json::object*>(nullptr)}) {
                 state::Change change;
                 change.key = scheduler::outcome_key(full_submission().uid);
                 model::JobSize size;
                 size.kind = model::JobKind::gang;
                 size.tasks = 16;
-                change.value = scheduler::outcome_record(record_format, state, at, kept, size);
+                change.value = scheduler::outcome_record(record_format, state, at, kept_spec, size);
                 out += line_of(change);
             }
     return out;
 }
 
-// What is read of an outcome: whether it is a cancellation, the state, and the size where it is told.
-std::string outcomes_read(const std::string& name) {
+// One line for each outcome: whether it is a cancellation, the state, and the job's size if it is recorded.
+std::string decoded_outcomes(const std::string& name) {
     std::string out;
     for (const auto& change : changes_in(name)) {
         const state::KeyValue item{change.key, *change.value, 1};
@@ -97,7 +97,7 @@
         try {
             const auto size = wire::size_from_record(record);
             out += ", " + std::to_string(static_cast<int>(size.kind)) + ", " + std::to_string(size.tasks) + "\n";
-        } catch (const wire::DecodeError& complaint) {
+        } catch (const wire::DecodeError& error) {
             out += ", no size\n";
         }
     }
@@ -116,22 +116,22 @@
     return out;
 }
 
-recovery::ReplicaContents remembered() {
+recovery::ReplicaContents replica_contents() {
     recovery::ReplicaContents source;
     source.generation = 3;
     source.id = "hearth-0-1700000000123";
     source.revision = 7'000'000'100;
     source.whole = true;
     for (const auto& record : archived_records()) {
-        recovery::Record kept;
-        kept.mod_revision = record.mod_revision;
-        kept.text = record.text;
-        source.records[record.key] = kept;
+        recovery::Record archived;
+        archived.mod_revision = record.mod_revision;
+        archived.text = record.text;
+        source.records[record.key] = archived;
     }
     return source;
 }
 
-std::vector<wire::MachineHint> machine_notes() {
+std::vector<wire::MachineHint> machine_hints() {
     std::vector<wire::MachineHint> notes(3);
     notes[0].name = "n-000001";
     notes[0].images = {{"img-07", 6.25}, {"img-1", 0.5}};
@@ -162,14 +162,14 @@
 
 }  // namespace
 
-// The first record of work, with all that a submission may hold, and with nothing that may be absent.
-TEST(GoldenTest, FirstRecordOfASubmissionIsWrittenAndReadAsBefore) {
-    expect_first_record("first_record_full.json", full_submission());
-    expect_first_record("first_record_bare.json", bare_submission());
+// The first work record of a submission with every field, and of one without optional fields.
+TEST(GoldenTest, FirstWorkRecordKeepsItsFormat) {
+    expect_first_work_record("first_record_full.json", full_submission());
+    expect_first_work_record("first_record_bare.json", bare_submission());
 }
 
-// Every shape and rank has its word on record.
-TEST(GoldenTest, ShapesAndRanksAreWrittenAndReadAsBefore) {
+// Every job kind and priority keeps its name in records.
+TEST(GoldenTest, JobKindsAndPrioritiesKeepTheirNames) {
     std::string out, again;
     for (const auto kind : {model::JobKind::array, model::JobKind::gang, model::JobKind::service})
         for (const auto priority :
@@ -179,56 +179,56 @@
             spec.priority = priority;
             out += print(wire::spec_to_record(spec)) + "\n";
         }
-    expect_golden("shapes_and_ranks.txt", out);
-    for (const auto& line : lines_of(golden("shapes_and_ranks.txt")))
+    expect_golden("job_kinds_and_priorities.txt", out);
+    for (const auto& line : lines_of(golden("job_kinds_and_priorities.txt")))
         again += print(wire::spec_to_record(wire::spec_from_record(boost::json::parse(line).as_object()))) + "\n";
-    expect_golden("shapes_and_ranks.txt", again);
+    expect_golden("job_kinds_and_priorities.txt", again);
 }
 
-// Records of 256 tasks each, and the smaller ones that overrule them where values must be shorter.
-TEST(GoldenTest, WorkInLargeAndSmallRecordsIsWrittenAndReadAsBefore) {
+// Work records of 256 tasks each, and the smaller records that supersede them after the limit on values was lowered.
+TEST(GoldenTest, LargeAndSmallWorkRecordsKeepTheirFormat) {
     scheduler::Machine first, second;
     first.name = "n-000001";
     second.name = "n-000002";
     auto job = long_job(first, second);
-    expect_golden("work_in_chunks_of_256.txt", all_work(job));
-    expect_golden("work_in_chunks_of_256.txt", ranges_again("work_in_chunks_of_256.txt"));
+    expect_golden("work_in_chunks_of_256.txt", work_records_of(job));
+    expect_golden("work_in_chunks_of_256.txt", with_ranges_reencoded("work_in_chunks_of_256.txt"));
     for (std::uint32_t chunk = 0; chunk < 3; ++chunk) job.chunks[chunk].mod_revision = 100 + chunk;
     job.split_records(128);
-    expect_golden("work_in_pages_of_128.txt", all_work(job));
-    expect_golden("work_in_pages_of_128.txt", ranges_again("work_in_pages_of_128.txt"));
+    expect_golden("work_in_pages_of_128.txt", work_records_of(job));
+    expect_golden("work_in_pages_of_128.txt", with_ranges_reencoded("work_in_pages_of_128.txt"));
     std::string superseded;
     for (const auto& record : job.superseded)
         superseded += record.key + " " + std::to_string(record.mod_revision) + "\n";
-    expect_golden("work_overruled.txt", superseded);
+    expect_golden("superseded_records.txt", superseded);
 }
 
-// A new leader finds on record what the former one wrote, task by task, whatever the size of the records.
-TEST(GoldenTest, ALeaderReadsRecordsOfWorkAsBefore) {
+// A new leader reads the state of every task from the records of the former leader, with large and small records.
+TEST(GoldenTest, LeaderReadsStoredWorkRecords) {
     for (const bool small : {false, true}) {
-        SchedulerHarness world;
+        SchedulerHarness harness;
         for (const auto* name : {"work_in_chunks_of_256.txt", "work_in_pages_of_128.txt"}) {
             if (!small && name == std::string("work_in_pages_of_128.txt")) continue;
             state::Txn txn;
             txn.changes = changes_in(name);
             if (small && name == std::string("work_in_chunks_of_256.txt")) {
-                // The larger records are older: of them only the submission still counts.
+                // The larger records are older: only the submission in them is still valid.
                 for (auto& change : txn.changes) change.value->as_object()["tasks"] = boost::json::array();
             }
-            world.keys.commit(txn);
+            harness.keys.commit(txn);
         }
-        world.elect();
-        const auto* job = world.leader->job(bare_submission().uid);
+        harness.elect();
+        const auto* job = harness.leader->job(bare_submission().uid);
         ASSERT_NE(job, nullptr);
-        expect_golden(small ? "work_in_pages_of_128.txt" : "work_in_chunks_of_256.txt", all_work(*job));
+        expect_golden(small ? "work_in_pages_of_128.txt" : "work_in_chunks_of_256.txt", work_records_of(*job));
     }
 }
 
-// A submission that is too long for one value, in fragments.
-TEST(GoldenTest, ALongSubmissionIsCutAndPutTogetherAsBefore) {
+// A submission that is too long for one value is written in fragments.
+TEST(GoldenTest, FragmentedSubmissionKeepsItsFormat) {
     auto settings = golden_settings("hearth-0", "hearth-1");
     settings.store_limits.value_bytes = 1024;
-    const auto record_format = newest_form(settings);
+    const auto record_format = newest_record_format(settings);
     auto spec = full_submission();
     spec.zone = "\u00e9\u00e9\"\\\u00e9";
     for (int i = 0; i < 200; ++i) spec.dependencies.push_back("run-" + std::to_string(1'000'000 + i));
@@ -248,17 +248,16 @@
     EXPECT_EQ(size.tasks, 16u);
 }
 
-// Where old controllers may read it, a submission is in one record, however long.
-TEST(GoldenTest, TheOldFormIsWrittenAsBefore) {
+// While old controllers may read it, a submission is one record, even if it exceeds the limit on values.
+TEST(GoldenTest, SubmissionInTheOldFormatKeepsItsFormat) {
     auto settings = golden_settings("hearth-0", "hearth-1");
     settings.store_limits.value_bytes = 300;
     const state::RecordFormat record_format(settings);
-    expect_golden("accepted_in_the_old_form.txt",
-                  lines_of(scheduler::accepted_records(full_submission(), record_format)));
+    expect_golden("submission_old_format.txt", lines_of(scheduler::accepted_records(full_submission(), record_format)));
 }
 
-// The names of all kinds of keys, and what is read of each.
-TEST(GoldenTest, KeysOfJobsAreNamedAndReadAsBefore) {
+// The keys of all kinds of job records, and the result of parsing each.
+TEST(GoldenTest, JobKeysKeepTheirFormat) {
     const std::string uid = "run-000412";
     std::string out, read;
     for (const auto& key :
@@ -280,19 +279,20 @@
     expect_golden("keys_of_jobs_read.txt", read);
 }
 
-// Outcomes, with and without the submission and the time, in the old form and the new.
-TEST(GoldenTest, OutcomesAreWrittenAndReadAsBefore) {
+// Outcomes with and without the submission and the time, in the old and the new format.
+TEST(GoldenTest, OutcomesKeepTheirFormat) {
     auto settings = golden_settings("hearth-0", "hearth-1");
-    expect_golden("outcomes_old_form.txt", outcomes_of(state::RecordFormat(settings)));
-    expect_golden("outcomes_new_form.txt", outcomes_of(newest_form(settings)));
+    expect_golden("outcomes_old_form.txt", outcome_records(state::RecordFormat(settings)));
+    expect_golden("outcomes_new_form.txt", outcome_records(newest_record_format(settings)));
     settings.store_limits.value_bytes = 300;
-    expect_golden("outcomes_short_values.txt", outcomes_of(newest_form(settings)));
+    expect_golden("outcomes_short_values.txt", outcome_records(newest_record_format(settings)));
     for (const std::string record_format : {"old_form", "new_form", "short_values"})
-        expect_golden("outcomes_" + record_format + "_read.txt", outcomes_read("outcomes_" + record_format + ".txt"));
+        expect_golden("outcomes_" + record_format + "_read.txt",
+                      decoded_outcomes("outcomes_" + record_format + ".txt"));
 }
 
-// Pages of remembered records, as bytes and as text.
-TEST(GoldenTest, ArchivePagesAreWrittenAndReadAsBefore) {
+// Pages of archived records, as bytes and as text.
+TEST(GoldenTest, ArchivePagesKeepTheirFormat) {
     expect_golden("archive_page.bin", wire::encode_archive(archived_records()));
     expect_golden("archive_page.bin", wire::encode_archive(wire::decode_archive(golden("archive_page.bin"))));
     EXPECT_EQ(wire::decode_archive(golden("archive_page.bin")), archived_records());
@@ -300,11 +300,11 @@
     EXPECT_EQ(wire::decode_archive_text(golden("archive_page.txt")), archived_records());
 }
 
-// The snapshot's name and bytes; and one that was left by the version before is read.
-TEST(GoldenTest, SnapshotsAreWrittenAndReadAsBefore) {
+// The name and bytes of a snapshot. A snapshot of the previous version is read.
+TEST(GoldenTest, SnapshotsKeepTheirFormat) {
     const auto directory = std::filesystem::path(::testing::TempDir()) / "golden_snapshot";
     std::filesystem::remove_all(directory);
-    ASSERT_TRUE(recovery::SnapshotFile(directory).put(remembered()));
+    ASSERT_TRUE(recovery::SnapshotFile(directory).put(replica_contents()));
     std::string name, bytes;
     for (const auto& entry : std::filesystem::directory_iterator(directory)) {
         name += entry.path().filename().string();
@@ -319,29 +319,29 @@
     const auto read = recovery::SnapshotFile(directory).newest();
     std::filesystem::remove_all(directory);
     ASSERT_TRUE(read);
-    const auto expected = remembered();
+    const auto expected = replica_contents();
     EXPECT_EQ(read->generation, expected.generation);
     EXPECT_EQ(read->id, expected.id);
     EXPECT_EQ(read->revision, expected.revision);
     EXPECT_EQ(read->records, expected.records);
 }
 
-// Pages of hints for the next leader, their names, and which of them are written again.
-TEST(GoldenTest, HintsAreWrittenAndReadAsBefore) {
+// Pages of machine hints for the next leader, their keys, and the deletion of pages that are no longer needed.
+TEST(GoldenTest, MachineHintsKeepTheirFormat) {
     auto settings = golden_settings("hearth-0", "hearth-1");
     settings.store_limits.value_bytes = 160;
     const state::RecordFormat record_format(settings);
     scheduler::HandoverHints writer(record_format), reader(record_format);
-    expect_golden("hints.txt", lines_of(writer.pages(machine_notes())));
+    expect_golden("hints.txt", lines_of(writer.pages(machine_hints())));
     std::vector<state::KeyValue> items;
     for (const auto& change : changes_in("hints.txt")) items.push_back({change.key, *change.value, 1});
-    EXPECT_EQ(reader.read(items), machine_notes());
-    // The pages there are known: those that are no longer needed are removed.
+    EXPECT_EQ(reader.read(items), machine_hints());
+    // The reader knows the existing pages and deletes those that are no longer needed.
     expect_golden("hints_removed.txt", lines_of(reader.pages({})));
 }
 
-// The machine types as they are kept.
-TEST(GoldenTest, TheCatalogueIsWrittenAndReadAsBefore) {
+// The record of the machine catalog.
+TEST(GoldenTest, CatalogRecordKeepsItsFormat) {
     expect_golden_line("catalogue_record.json", print(wire::catalog_record(machine_types())));
     expect_golden_line("catalogue_record.json",
                        print(wire::catalog_record(wire::parse_catalog(golden("catalogue_record.json")))));
--- a/tests/support/golden_support.cpp
+++ b/tests/support/golden_support.cpp
@@ -1,4 +1,4 @@
-// Reads golden files. GOLDEN_DIRECTORY is where they are.
+// Reads golden files from GOLDEN_DIRECTORY.
 #include "support/golden_support.hpp"
 
 #include <fstream>
--- a/tests/support/golden_values.cpp
+++ b/tests/support/golden_values.cpp
@@ -1,4 +1,4 @@
-// The fixed values that golden files are made of.
+// The fixed values from which golden files were made, and helpers to read and print them.
 #include <sstream>
 
 #include "support/golden_support.hpp"
