--- a/tests/archive_test.cpp
+++ b/tests/archive_test.cpp
@@ -19,7 +19,7 @@
         auto damaged = bytes;
         damaged[n] = static_cast<char>(damaged[n] ^ 0x10);
         try {
-            EXPECT_EQ(wire::decode_archive(damaged), records) << "bits that mean nothing";
+            EXPECT_EQ(wire::decode_archive(damaged), records) << "a damaged page was accepted and gave other records";
         } catch (const wire::DecodeError&) {
         }
     }
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -41,7 +41,7 @@
 TEST(QuotaTest, LimitLeavesRoomForWholeTasksAndUnknownTeamsHaveNone) {
     QuotaAccounting accounting(Table{{"red", {{10, 3}, {}}}, {"blue", {}}});
     const model::Resources need{4, 1, 10};
-    EXPECT_EQ(accounting.room("red", need, 100), 2u) << "CPUs bind first";
+    EXPECT_EQ(accounting.room("red", need, 100), 2u) << "the CPU limit allows fewer tasks than the accelerator limit";
     accounting.task_placed("red", need);
     EXPECT_EQ(accounting.room("red", need, 100), 1u);
     EXPECT_EQ(accounting.room("red", {0, 1, 1}, 100), 2u);
@@ -91,7 +91,7 @@
     EXPECT_TRUE(accounting.guaranteed("red", "run-1"));
     EXPECT_TRUE(accounting.guaranteed("red", "run-2"));
     EXPECT_FALSE(accounting.guaranteed("red", "run-3"));
-    EXPECT_FALSE(accounting.guaranteed("red", "run-4")) << "it would fit, but for the one before it";
+    EXPECT_FALSE(accounting.guaranteed("red", "run-4")) << "would fit without run-3, which was accepted earlier";
     EXPECT_FALSE(accounting.guaranteed("blue", "run-5"));
     EXPECT_TRUE(accounting.below_guarantee("red"));
     accounting.job_closed(of_team("run-2", "red", 2, 20));
@@ -133,7 +133,7 @@
     harness.heartbeat(worker);
     worker.run_all();
     harness.leader->set_teams(quota::table_of({team("team", 0, 4)}));
-    EXPECT_TRUE(harness.heartbeat(worker).empty()) << "what runs goes on";
+    EXPECT_TRUE(harness.heartbeat(worker).empty()) << "running tasks above the lowered limit must not be stopped";
     worker.finish("run-1", 0, model::ExitReason::done);
     harness.heartbeat(worker);
     harness.pass(Seconds(5));
@@ -177,12 +177,12 @@
 
 TEST(QuotaTest, GuaranteedJobsPrecedeOtherTeamsOfAnyPriority) {
     SchedulerHarness harness;
-    harness.settings = with_teams({team("team", 0), team("sure", 2)});
+    harness.settings = with_teams({team("team", 0), team("guaranteed", 2)});
     harness.elect();
     auto high = of_team("run-1", "team", 2, 1);
     high.priority = model::Priority::high;
     harness.accept(high);
-    auto low = of_team("run-2", "sure", 2, 2);
+    auto low = of_team("run-2", "guaranteed", 2, 2);
     low.priority = model::Priority::idle;
     harness.accept(low);
     harness.settle();
@@ -197,7 +197,7 @@
 
 TEST(QuotaTest, GuaranteePreemptsOnlyWhatExceedsOtherGuarantees) {
     SchedulerHarness harness;
-    harness.settings = with_teams({team("team", 0), team("sure", 2)});
+    harness.settings = with_teams({team("team", 0), team("guaranteed", 2)});
     harness.elect();
     auto big = of_team("run-1", "team", 4, 1);
     big.priority = model::Priority::high;
@@ -212,7 +212,7 @@
         worker->run_all();
         harness.heartbeat(*worker);
     }
-    auto low = of_team("run-2", "sure", 2, 2);
+    auto low = of_team("run-2", "guaranteed", 2, 2);
     low.priority = model::Priority::idle;
     harness.accept(low);
     harness.settle();
@@ -228,7 +228,7 @@
     EXPECT_EQ(stopped, 2u);
     EXPECT_NE(harness.machine_of("run-2", 0), "");
     EXPECT_NE(harness.machine_of("run-2", 1), "");
-    EXPECT_FALSE(harness.leader->teams().below_guarantee("sure"));
+    EXPECT_FALSE(harness.leader->teams().below_guarantee("guaranteed"));
     // The guaranteed job is not preempted in turn by jobs of a higher priority without a guarantee.
     for (int round = 0; round < 5; ++round) {
         harness.pass(Seconds(3));
@@ -241,7 +241,7 @@
 
 TEST(QuotaTest, TeamWithinItsGuaranteeIsNotPreempted) {
     SchedulerHarness harness;
-    harness.settings = with_teams({team("team", 2), team("sure", 2)});
+    harness.settings = with_teams({team("team", 2), team("guaranteed", 2)});
     harness.elect();
     harness.accept(of_team("run-1", "team", 2, 1));
     harness.settle();
@@ -252,7 +252,7 @@
     harness.heartbeat(worker);
     worker.run_all();
     harness.heartbeat(worker);
-    auto high = of_team("run-2", "sure", 2, 2);
+    auto high = of_team("run-2", "guaranteed", 2, 2);
     high.priority = model::Priority::critical;
     harness.accept(high);
     harness.settle();
@@ -262,7 +262,7 @@
         harness.pass(Seconds(2));
     }
     EXPECT_EQ(harness.machine_of("run-1", 0), worker.name);
-    EXPECT_FALSE(harness.leader->scale_out(harness.now).empty()) << "it gets a machine of its own";
+    EXPECT_FALSE(harness.leader->scale_out(harness.now).empty()) << "run-2 must get a new machine instead";
 }
 
 // A rolling restart of all controllers with a new table: the leader applies the strictest limits until the last
@@ -297,7 +297,7 @@
         while (second.poll() > 0) {
         }
     }
-    EXPECT_TRUE(limits.empty()) << "all go by the same table";
+    EXPECT_TRUE(limits.empty()) << "both controllers have the same table";
     {
         net::asio::io_context second;
         election::Members after(store, fresh, record_format);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -90,7 +90,7 @@
     for (const auto& [body, field] : table) {
         const auto error = parse_error(body);
         EXPECT_FALSE(error.empty()) << body;
-        EXPECT_TRUE(error.starts_with(field)) << body << " gave " << error;
+        EXPECT_TRUE(error.starts_with(field)) << body << " gave the error: " << error;
     }
 }
 
