--- a/src/fleet/machine_inventory.hpp
+++ b/src/fleet/machine_inventory.hpp
@@ -115,8 +115,8 @@
     // Applies the hints of a former leader: at once to machines of a known type, to others once their type is known.
     void apply_hints(std::vector<wire::MachineHint> hints);
 
-    // The cloud refused a launch request. may_launch() is false for the pool during a back-off, which doubles with each
-    // refusal and ends with the first granted request.
+    // The cloud refused a launch request. may_launch() is false for the pool during the back-off, which doubles with
+    // each refusal in a row. launch_granted() resets it.
     void launch_refused(const Pool& pool, TimePoint now);
     void launch_granted(const Pool& pool) { back_off_.erase(pool); }
     bool may_launch(const Pool& pool, TimePoint now) const;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -6,7 +6,7 @@
 namespace flintdale::placement {
 
 namespace {
-constexpr Seconds image_wait_step{5};  // waits for an image that differ by less count as equal
+constexpr Seconds image_wait_step{5};  // waits for an image are compared in steps of this size
 constexpr double tolerance = 1e-6;     // of amounts: sums of decimal fractions are not exact in binary
 }  // namespace
 
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -88,7 +88,7 @@
 
 Requirements make_requirements(const JobSpec& spec, const Rules& rules, Directory& directory);
 
-// Hosts are addressed by row: their index in hosts(). Rows do not change during a planner's life.
+// Hosts are addressed by row: their index in hosts(), which never changes.
 class Planner {
   public:
     static constexpr std::size_t none = static_cast<std::size_t>(-1);
