--- a/src/fleet/machine_inventory.hpp
+++ b/src/fleet/machine_inventory.hpp
@@ -38,7 +38,7 @@
 
     bool listed_failed = false;     // the last list that names it shows it as failed
     TimePoint listed_booting_at{};  // time of the last list that showed it as booting
-    bool unlisted = false;  // missing from the newest list though old enough to be listed; no proof that it is gone
+    bool unlisted = false;     // missing from the newest list though old enough to be listed; no proof that it is gone
     bool releasing = false;    // a release was requested and may be carried out at any time; never used again
     bool draining = false;     // its tasks are being moved to other machines; released once it is empty
     bool cordoned = false;     // spare: gets no new tasks while other machines have room; released once it is empty
--- a/src/wire/json_fields.cpp
+++ b/src/wire/json_fields.cpp
@@ -9,8 +9,7 @@
 constexpr std::size_t max_depth = 16;  // levels of nesting
 constexpr std::size_t max_text_bytes = 200;
 constexpr double max_amount = 1e9;
-constexpr double max_exact_integer =
-    9e15;  // a double represents every whole number up to 2^53, about 9.007e15, exactly
+constexpr double max_exact_integer = 9e15;  // a double represents every whole number below exactly
 
 double to_double(const json::value& value, std::string_view field) {
     if (value.is_double()) return value.get_double();
--- a/src/wire/user_json.hpp
+++ b/src/wire/user_json.hpp
@@ -11,8 +11,8 @@
 
 namespace json = boost::json;
 
-// Whether this is a valid job id: "run-" followed by letters, digits and dashes, at most 64 bytes. A valid id can be
-// part of a key in the store.
+// Whether this is a valid job id in the platform's format: "run-" followed by letters, digits and dashes, at most 64
+// bytes. A valid id can be part of a key in the store.
 bool valid_uid(std::string_view uid);
 
 // Parses a submission. The time of acceptance is not set. Throws DecodeError, which names the field and the reason.
