--- a/src/wire/archive.cpp
+++ b/src/wire/archive.cpp
@@ -39,7 +39,7 @@
         for (const auto record : message.getRoot<::Archive>().getRecords())
             records.push_back({record.getKey().cStr(), record.getModRevision(), record.getText().cStr()});
     } catch (const kj::Exception& e) {
-        throw DecodeError(std::string("a page cannot be read: ") + e.getDescription().cStr());
+        throw DecodeError(std::string("archive page: malformed message: ") + e.getDescription().cStr());
     }
     return records;
 }
--- a/src/wire/machine_hints.cpp
+++ b/src/wire/machine_hints.cpp
@@ -71,7 +71,7 @@
             hints.push_back(std::move(hint));
         }
     } catch (const kj::Exception& e) {
-        throw DecodeError(std::string("a page of hints cannot be read: ") + e.getDescription().cStr());
+        throw DecodeError(std::string("page of machine hints: malformed message: ") + e.getDescription().cStr());
     }
     return hints;
 }
--- a/src/wire/packed_message.cpp
+++ b/src/wire/packed_message.cpp
@@ -28,10 +28,10 @@
 std::vector<kj::byte> decompress(std::string_view compressed, std::size_t max_size) {
     const auto size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
     if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > max_size)
-        throw DecodeError("not a page, or too large");
+        throw DecodeError("page: not a Zstandard frame of known size, or too large");
     std::vector<kj::byte> bytes(size);
     const auto written = ZSTD_decompress(bytes.data(), bytes.size(), compressed.data(), compressed.size());
-    if (ZSTD_isError(written) || written != size) throw DecodeError("a page is damaged");
+    if (ZSTD_isError(written) || written != size) throw DecodeError("page: damaged, decompression failed");
     return bytes;
 }
 
@@ -42,7 +42,7 @@
 
 std::string from_base64(std::string_view text) {
     const auto bytes = kj::decodeBase64(kj::arrayPtr(text.data(), text.size()));
-    if (bytes.hadErrors) throw DecodeError("a page is damaged");
+    if (bytes.hadErrors) throw DecodeError("page: not valid base64");
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
