--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -74,8 +74,8 @@
 state::GuardedStore::Events Controller::store_events() {
     return {[this](const char* why) { recovery_.suspect_loss(why); },
             [this](const state::Change& change, std::uint64_t revision) { recovery_.record_written(change, revision); },
-            [this](const std::string& key) { return recovery_.replica().expected(key); }, explaining_outcome,
-            [this](const std::string& key) { recovery_.record_missing(key); }};
+            [this](const std::string& key) { return recovery_.replica().expected_mod_revision(key); },
+            explaining_outcome, [this](const std::string& key) { recovery_.record_missing(key); }};
 }
 
 election::Elector::Events Controller::elector_events() {
@@ -101,7 +101,7 @@
     callbacks.received = [this](const model::Heartbeat& heartbeat) { heartbeat_received(heartbeat); };
     callbacks.received_in_recovery = [this](const model::Heartbeat& heartbeat) { recovery_.tasks_reported(heartbeat); };
     callbacks.cancellations_known_until = [this] {
-        return cancellation_register_.all_known_until(follower_leases_.looked_at());
+        return cancellation_register_.all_known_until(follower_leases_.last_read_at());
     };
     callbacks.send = ports_.relay;
     return callbacks;
@@ -110,13 +110,13 @@
 recovery::RecoveryCoordinator::Callbacks Controller::recovery_callbacks() {
     recovery::RecoveryCoordinator::Callbacks callbacks;
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
-    callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
-    callbacks.new_term = [this](const char* why) { elector_.restart_term(why); };
+    callbacks.begin_term = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
+    callbacks.restart_term = [this](const char* why) { elector_.restart_term(why); };
     using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
-    callbacks.outcomes = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
-                                OutcomeCoverage coverage) { outcomes_read(outcomes, began, coverage); };
-    callbacks.rebuilt = [this] { records_rebuilt(); };
-    callbacks.seen_term = [this] { return elector_.term(); };
+    callbacks.outcomes_read = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
+                                     OutcomeCoverage coverage) { outcomes_read(outcomes, began, coverage); };
+    callbacks.records_rebuilt = [this] { records_rebuilt(); };
+    callbacks.highest_seen_term = [this] { return elector_.term(); };
     callbacks.incarnation = incarnation_;
     return callbacks;
 }
@@ -170,19 +170,19 @@
 void Controller::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
                                recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage coverage) {
     using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
-    if (coverage == OutcomeCoverage::after_gap) follower_leases_.lost_track(Clock::now());
-    follower_leases_.watched(outcomes, began);
+    if (coverage == OutcomeCoverage::after_gap) follower_leases_.watch_interrupted(Clock::now());
+    follower_leases_.outcomes_read(outcomes, began);
     // After the records were rebuilt these are all outcomes there are: a user who is told of one of them again notes it
     // then.
     for (const auto& item : outcomes)
         if (coverage != OutcomeCoverage::all && scheduler::is_cancelled(item))
             cancellation_learned(item.key.substr(item.key.rfind('/') + 1));
-    if (coverage == OutcomeCoverage::all) follower_leases_.knows_all(began);
+    if (coverage == OutcomeCoverage::all) follower_leases_.watch_complete(began);
 }
 
 void Controller::records_rebuilt() {
     // Jobs that were believed to be open are looked up again; keys that are not rebuilt are written again.
-    submissions_.forget_open();
+    submissions_.invalidate_open_jobs();
     catalog_.record_again();
     net::asio::co_spawn(ex_, members_.restore_enrollment(), net::asio::detached);
 }
@@ -224,7 +224,7 @@
     for (const auto& uid : status.cancellations.recent) cancellation_learned(uid);
     cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
     elector_.observe_term(status.term, status.leader);
-    record_format_.all_read(status.format);
+    record_format_.set_supported_format(status.format);
     recovery_.peer_status_received(status.member,
                                    {status.generation, status.replica_revision, status.history, status.rebuilding, {}});
     peers_.update(status, Clock::now());
--- a/src/fleet/machine_inventory.cpp
+++ b/src/fleet/machine_inventory.cpp
@@ -6,11 +6,12 @@
 namespace flintdale::fleet {
 
 namespace {
-constexpr int max_doublings = 4;                // of the pause after refused requests
-constexpr std::chrono::seconds first_pause{4};  // doubled with every refusal, the first included
+// The back-off after refused launch requests is base_pause, doubled once for each refusal in a row: 8 to 64 s.
+constexpr int max_doublings = 4;
+constexpr std::chrono::seconds base_pause{4};
 }  // namespace
 
-void Machine::used_image(const Image& image, double cache_gb) {
+void Machine::record_image_use(const Image& image, double cache_gb) {
     std::erase_if(images, [&](const Image& e) { return e.id == image.id; });
     images.push_back(image);
     double cached_gb = 0;
@@ -28,7 +29,7 @@
     return std::max(boot, model::Seconds(row.fetch_gb_per_s > 0 ? cached_gb / row.fetch_gb_per_s : 0));
 }
 
-double Machine::in_use() const {
+double Machine::utilization() const {
     const auto share = [](double free, double capacity) { return capacity > 0 ? 1 - free / capacity : 0; };
     return std::max({share(row.free.cpus, row.capacity.cpus), share(row.free.gpus, row.capacity.gpus),
                      share(row.free.memory_gb, row.capacity.memory_gb)});
@@ -52,7 +53,7 @@
         for (const auto& zone : t.zones)
             for (const bool spot : {true, false}) directory_.pool(t.name, zone, spot);
     for (auto& [name, m] : machines_)
-        if (m->row.capacity.cpus == 0) describe(*m, m->type, m->zone, m->spot);
+        if (m->row.capacity.cpus == 0) set_pool(*m, m->type, m->zone, m->spot);
 }
 
 const model::MachineType* MachineInventory::type(const std::string& name) const {
@@ -77,16 +78,16 @@
         slot->known_since = slot->last_report = slot->idle_since = now;
     }
     if (slot->type.empty() && !type.empty()) {
-        describe(*slot, type, zone, spot);
-        if (const auto it = recalled_.find(name); it != recalled_.end()) {
-            apply(it->second, *slot);
-            recalled_.erase(it);
+        set_pool(*slot, type, zone, spot);
+        if (const auto it = pending_hints_.find(name); it != pending_hints_.end()) {
+            apply_hint(it->second, *slot);
+            pending_hints_.erase(it);
         }
     }
     return *slot;
 }
 
-void MachineInventory::describe(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
+void MachineInventory::set_pool(Machine& m, const std::string& type_name, const std::string& zone, bool spot) {
     m.type = type_name;
     m.zone = zone;
     m.spot = spot;
@@ -96,8 +97,8 @@
     if (const auto* t = type(type_name); t && m.row.capacity.cpus == 0) {
         m.row.capacity = t->capacity;
         m.row.fetch_gb_per_s = t->fetch_gb_per_s;
-        // Tasks assigned before the type was known have been taken from zero.
-        placement::give(m.row.free, m.row.capacity);
+        // Tasks that were assigned before the type was known have made the free resources negative.
+        placement::add_resources(m.row.free, m.row.capacity);
     }
 }
 
@@ -109,19 +110,19 @@
 
 void MachineInventory::assign(Machine& m, const TaskKey& task, const model::JobSpec& spec, model::Priority priority) {
     if (!m.tasks.insert(task).second) return;
-    placement::take(m.row.free, spec.need);
+    placement::subtract_resources(m.row.free, spec.need);
     ++m.row.load;
-    if (spec.kind == model::JobKind::service) placement::give(m.row.standing, spec.need);
+    if (spec.kind == model::JobKind::service) placement::add_resources(m.row.held_by_services, spec.need);
     m.fetching[task] = {{directory_.image(spec.image), spec.image_gb}, priority};
     m.update_row();
 }
 
-void MachineInventory::has_image(Machine& m, const TaskKey& task, const model::JobSpec& spec) {
-    if (m.fetching.erase(task)) used_image(m, spec);
+void MachineInventory::image_ready(Machine& m, const TaskKey& task, const model::JobSpec& spec) {
+    if (m.fetching.erase(task)) record_image_use(m, spec);
 }
 
-void MachineInventory::used_image(Machine& m, const model::JobSpec& spec) {
-    m.used_image({directory_.image(spec.image), spec.image_gb}, cache_gb(m));
+void MachineInventory::record_image_use(Machine& m, const model::JobSpec& spec) {
+    m.record_image_use({directory_.image(spec.image), spec.image_gb}, cache_gb(m));
 }
 
 double MachineInventory::cache_gb(const Machine& m) const {
@@ -134,50 +135,50 @@
     if (m.fetching.erase(task))
         m.update_row();
     else
-        used_image(m, spec);
-    placement::give(m.row.free, spec.need);
+        record_image_use(m, spec);
+    placement::add_resources(m.row.free, spec.need);
     --m.row.load;
-    if (spec.kind == model::JobKind::service) placement::take(m.row.standing, spec.need);
+    if (spec.kind == model::JobKind::service) placement::subtract_resources(m.row.held_by_services, spec.need);
     if (m.tasks.empty()) m.idle_since = now;
 }
 
-std::vector<wire::MachineHint> MachineInventory::notes() const {
-    std::vector<wire::MachineHint> out;
+std::vector<wire::MachineHint> MachineInventory::hints() const {
+    std::vector<wire::MachineHint> hints;
     for (const auto& [name, m] : machines_) {
         if (m->releasing || (m->images.empty() && !m->quarantined)) continue;
-        wire::MachineHint note{name, {}, m->quarantined};
-        for (const auto& image : m->images) note.images.push_back({directory_.image_name(image.id), image.gb});
-        out.push_back(std::move(note));
+        wire::MachineHint hint{name, {}, m->quarantined};
+        for (const auto& image : m->images) hint.images.push_back({directory_.image_name(image.id), image.gb});
+        hints.push_back(std::move(hint));
     }
-    return out;
+    return hints;
 }
 
-void MachineInventory::recall(std::vector<wire::MachineHint> notes) {
-    for (auto& note : notes) {
-        if (gone(note.name)) continue;
-        // The size of a machine's cache is known once its type is.
-        if (auto* m = find(note.name); m && !m->type.empty())
-            apply(note, *m);
+void MachineInventory::apply_hints(std::vector<wire::MachineHint> hints) {
+    for (auto& hint : hints) {
+        if (confirmed_gone(hint.name)) continue;
+        // The type determines the size of the machine's cache.
+        if (auto* m = find(hint.name); m && !m->type.empty())
+            apply_hint(hint, *m);
         else
-            recalled_[note.name] = std::move(note);
+            pending_hints_[hint.name] = std::move(hint);
     }
 }
 
-// What this leader knows itself is newer than the hint: its images count as used later.
-void MachineInventory::apply(const wire::MachineHint& note, Machine& m) {
+// This leader's own knowledge is newer than the hint, so its images count as used more recently.
+void MachineInventory::apply_hint(const wire::MachineHint& hint, Machine& m) {
     const auto known = std::exchange(m.images, {});
-    for (const auto& image : note.images) m.used_image({directory_.image(image.name), image.gb}, cache_gb(m));
-    for (const auto& image : known) m.used_image(image, cache_gb(m));
-    m.quarantined = m.quarantined || note.quarantined;
+    for (const auto& image : hint.images) m.record_image_use({directory_.image(image.name), image.gb}, cache_gb(m));
+    for (const auto& image : known) m.record_image_use(image, cache_gb(m));
+    m.quarantined = m.quarantined || hint.quarantined;
 }
 
-void MachineInventory::refused(const Pool& pool, TimePoint now) {
+void MachineInventory::launch_refused(const Pool& pool, TimePoint now) {
     auto& back_off = back_off_[pool];
-    back_off.times = std::min(back_off.times + 1, max_doublings);
-    back_off.until = now + first_pause * (1 << back_off.times);
+    back_off.refusals = std::min(back_off.refusals + 1, max_doublings);
+    back_off.until = now + base_pause * (1 << back_off.refusals);
 }
 
-bool MachineInventory::open(const Pool& pool, TimePoint now) const {
+bool MachineInventory::may_launch(const Pool& pool, TimePoint now) const {
     const auto it = back_off_.find(pool);
     return it == back_off_.end() || now >= it->second.until;
 }
--- a/src/recovery/record_scrubber.cpp
+++ b/src/recovery/record_scrubber.cpp
@@ -55,7 +55,7 @@
     drop_explained(lost);
     for (const auto& finding : lost)
         spdlog::error("event=record_lost key={} expected={} present={} revision={} replica_revision={}", finding.key,
-                      context_.replica.expected(finding.key), finding.present, finding.revision,
+                      context_.replica.expected_mod_revision(finding.key), finding.present, finding.revision,
                       context_.replica.revision());
     if (lost.size() > max_restored_records)
         context_.suspect_loss(
@@ -115,7 +115,7 @@
 // Removed in good order, restored or written anew since the second read.
 void RecordScrubber::drop_explained(Findings& lost) const {
     std::erase_if(lost, [&](const Finding& finding) {
-        const auto expected = context_.replica.expected(finding.key);
+        const auto expected = context_.replica.expected_mod_revision(finding.key);
         return expected == 0 || expected > finding.revision || (expected <= finding.present && !finding.damaged);
     });
 }
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -141,7 +141,7 @@
     const bool nothing_lost = marker.keys_only && restored == 0;
     marker.loss_exceeds_replica = !nothing_lost && (marker.loss_exceeds_replica || !gathered.placements_known);
     if (marker.loss_exceeds_replica)
-        changes.push_back({unsettled_key, boost::json::object{{"generation", marker.generation}}, 0});
+        changes.push_back({reconciliation_pending_key, boost::json::object{{"generation", marker.generation}}, 0});
     const auto mod_revision = co_await markers_.replace_with(marker, std::move(changes));
     if (!mod_revision) co_return false;
     spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -299,7 +299,7 @@
     bool marker_stands = false, unsettled = false;
     for (const auto& item : read.items) {
         marker_stands = marker_stands || (item.key == state::marker_key && item.mod_revision == marker.mod_revision);
-        unsettled = unsettled || item.key == unsettled_key;
+        unsettled = unsettled || item.key == reconciliation_pending_key;
     }
     if (!marker_stands) co_return false;
     context_.terms.reconciled = !unsettled;
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -61,8 +61,8 @@
     }
     // What to expect for a worker whose heartbeat is not answered yet. a_write: tasks placed there are not on record
     // yet; a_plan: it has room, and jobs wait that were not planned since that many passes.
-    enum class Prospect : std::uint8_t { nothing, a_plan, a_write };
-    Prospect expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const;
+    enum class ExpectedWork : std::uint8_t { nothing, a_plan, a_write };
+    ExpectedWork expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const;
     // The number of placement passes so far.
     std::uint64_t passes() const { return placement_.passes(); }
     // Runs of tasks placed since that heartbeat, for its answer; none if a newer heartbeat has come.
@@ -78,7 +78,7 @@
         fleet_.machines_listed(machines, now);
     }
     void machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now);
-    void launch_refused(const fleet::Pool& pool, TimePoint now) { state_.inventory.refused(pool, now); }
+    void launch_refused(const fleet::Pool& pool, TimePoint now) { state_.inventory.launch_refused(pool, now); }
     void machines_released(const std::vector<std::string>& machines, TimePoint now);
 
     // --- decisions ---
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -50,13 +50,13 @@
         const auto* type = state_.inventory.type(machine->type);
         if (!type || !fleet_.usable(*machine, now)) continue;
         const double price = machine->spot ? type->spot_price : type->price;
-        const double waste = price * (1 - machine->in_use());
+        const double waste = price * (1 - machine->utilization());
         ++out.machines;
         out.price += price;
         out.waste += waste;
         out.replacement += machine->replacement_time(type->boot);
         // Services do not end by themselves.
-        if (machine->row.standing.cpus <= 0) candidates.push_back({waste, price, machine.get()});
+        if (machine->row.held_by_services.cpus <= 0) candidates.push_back({waste, price, machine.get()});
     }
     if (out.machines) out.replacement /= static_cast<double>(out.machines);
     return out;
--- a/src/state/http_store.hpp
+++ b/src/state/http_store.hpp
@@ -32,7 +32,7 @@
     awaitable<LeaseResult> grant(std::chrono::milliseconds ttl) override;
     awaitable<Outcome> renew(std::uint64_t lease) override;
     awaitable<void> revoke(std::uint64_t lease) override;
-    std::size_t write_portion() const override { return limiter_.write_portion(); }
+    std::size_t preferred_batch_size() const override { return limiter_.preferred_batch_size(); }
     std::chrono::duration<double> write_wait() const override { return limiter_.write_wait(); }
 
   private:
--- a/src/state/request_limiter.cpp
+++ b/src/state/request_limiter.cpp
@@ -45,7 +45,7 @@
         net::asio::co_spawn(ex_, pump(lane), net::asio::detached);
     }
     if (!waiter->is_admitted) {
-        auto [ec] = co_await waiter->admitted.async_wait(net::quietly);
+        auto [ec] = co_await waiter->admitted.async_wait(net::use_nothrow_awaitable);
         (void)ec;
     }
 }
@@ -102,7 +102,7 @@
     return std::chrono::duration<double>(waiting_writes_ / bucket_.write_rate());
 }
 
-std::size_t RequestLimiter::write_portion() const {
+std::size_t RequestLimiter::preferred_batch_size() const {
     return static_cast<std::size_t>(bucket_.write_rate() * portion_of_a_second);
 }
 
--- a/src/state/request_limiter.hpp
+++ b/src/state/request_limiter.hpp
@@ -18,7 +18,7 @@
     awaitable<void> enter(double writes, RequestPriority priority);
 
     // How many writes a transaction that is not urgent should hold at most.
-    std::size_t write_portion() const;
+    std::size_t preferred_batch_size() const;
 
     // How long a write that is requested now would wait.
     std::chrono::duration<double> write_wait() const;
--- a/tests/recovery_coordinator_test.cpp
+++ b/tests/recovery_coordinator_test.cpp
@@ -34,12 +34,12 @@
     static recovery::RecoveryCoordinator::Callbacks callbacks() {
         recovery::RecoveryCoordinator::Callbacks callbacks;
         callbacks.time_of_day_ms = [] { return std::int64_t{1000}; };
-        callbacks.begin = [](election::Term, bool) {};
-        callbacks.new_term = [](const char*) {};
-        callbacks.outcomes = [](const std::vector<state::KeyValue>&, model::TimePoint,
-                                recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {};
-        callbacks.rebuilt = [] {};
-        callbacks.seen_term = [] { return std::uint64_t{0}; };
+        callbacks.begin_term = [](election::Term, bool) {};
+        callbacks.restart_term = [](const char*) {};
+        callbacks.outcomes_read = [](const std::vector<state::KeyValue>&, model::TimePoint,
+                                     recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {};
+        callbacks.records_rebuilt = [] {};
+        callbacks.highest_seen_term = [] { return std::uint64_t{0}; };
         callbacks.incarnation = 1;
         return callbacks;
     }
@@ -78,7 +78,7 @@
     ASSERT_EQ(accepted, Outcome::ok);
     // The others have rebuilt what there was before.
     const auto revision = store.keys.revision();
-    store.keys = Keys();
+    store.keys = InMemoryStore();
     while (store.keys.revision() < revision + 10) put("other", 1);
     state::GenerationMarker marker;
     marker.generation = 2;
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -7,7 +7,7 @@
 
 class FakeStore : public state::Store {
   public:
-    Keys keys;
+    InMemoryStore keys;
     bool refuse = false;         // an outage, or a refusal of this controller alone
     int lose_answers = 0;        // so many transactions are carried out, but their answers are lost
     int stall = 0;               // so many transactions are carried out, and their answers never come
@@ -46,7 +46,7 @@
             --stall;
             net::Timer never(ex);
             never.expires_at(model::TimePoint::max());
-            auto [ec] = co_await never.async_wait(net::quietly);
+            auto [ec] = co_await never.async_wait(net::use_nothrow_awaitable);
             (void)ec;
         }
         if (lose_answers > 0) {
--- a/tests/support/golden_store.hpp
+++ b/tests/support/golden_store.hpp
@@ -6,7 +6,7 @@
 
 namespace flintdale::test {
 
-class NotingStore : public FakeStore {
+class ChangeLoggingStore : public FakeStore {
   public:
     std::string noted;
     net::awaitable<state::TxnResult> commit(state::Txn txn, state::RequestPriority priority) override {
@@ -17,11 +17,11 @@
     }
 };
 
-struct OwnTime {
+struct SimulatedClock {
     model::TimePoint now{std::chrono::seconds(1000)};
-    OwnTime() { model::Clock::simulated = &now; }
-    ~OwnTime() { model::Clock::simulated = nullptr; }
-    OwnTime(const OwnTime&) = delete;
+    SimulatedClock() { model::Clock::simulated = &now; }
+    ~SimulatedClock() { model::Clock::simulated = nullptr; }
+    SimulatedClock(const SimulatedClock&) = delete;
     // What happens on `io` while these seconds pass.
     void pass(net::asio::io_context& io, double seconds) {
         for (double t = 0; t < seconds; t += 0.02) {
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -198,7 +198,7 @@
     txn.conditions.push_back({scheduler::work_key(spec.uid, 0), 0});
     txn.changes = scheduler::accepted_records(spec, record_format);
     ASSERT_EQ(keys.commit(txn).outcome, state::Outcome::ok);
-    if (leader) tell(spec.uid);
+    if (leader) sync_job(spec.uid);
 }
 
 bool SchedulerHarness::cancel(const std::string& uid) {
@@ -261,7 +261,7 @@
     next.next_store_limits->value_bytes = keys.value_bytes = value_bytes;
     next.next_store_limits->txn_ops = keys.txn_ops = txn_ops;
     record_format = state::RecordFormat(next);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
 }
 
 bool SchedulerHarness::place() {
