--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -101,7 +101,7 @@
     callbacks.received = [this](const model::Heartbeat& heartbeat) { heartbeat_received(heartbeat); };
     callbacks.received_in_recovery = [this](const model::Heartbeat& heartbeat) { recovery_.tasks_reported(heartbeat); };
     callbacks.cancellations_known_until = [this] {
-        return cancellation_register_.all_known_until(follower_leases_.looked_at());
+        return cancellation_register_.all_known_until(follower_leases_.last_read_at());
     };
     callbacks.send = ports_.relay;
     return callbacks;
@@ -170,14 +170,14 @@
 void Controller::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
                                recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage coverage) {
     using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
-    if (coverage == OutcomeCoverage::after_gap) follower_leases_.lost_track(Clock::now());
-    follower_leases_.watched(outcomes, began);
+    if (coverage == OutcomeCoverage::after_gap) follower_leases_.watch_interrupted(Clock::now());
+    follower_leases_.outcomes_read(outcomes, began);
     // After the records were rebuilt these are all outcomes there are: a user who is told of one of them again notes it
     // then.
     for (const auto& item : outcomes)
         if (coverage != OutcomeCoverage::all && scheduler::is_cancelled(item))
             cancellation_learned(item.key.substr(item.key.rfind('/') + 1));
-    if (coverage == OutcomeCoverage::all) follower_leases_.knows_all(began);
+    if (coverage == OutcomeCoverage::all) follower_leases_.watch_complete(began);
 }
 
 void Controller::records_rebuilt() {
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -107,7 +107,7 @@
 }
 
 LeaderTerm::Commands HeartbeatService::renew_lease_without_term(const model::Heartbeat& heartbeat) {
-    return follower_leases_.keep(heartbeat, Clock::now(), callbacks_.cancellations_known_until());
+    return follower_leases_.renew(heartbeat, Clock::now(), callbacks_.cancellations_known_until());
 }
 
 // --- as a follower ---
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -108,7 +108,7 @@
     }
     decision.passes = scheduler.passes();
     decision.runs_expected = decision.commands->empty() && scheduler.expected_work(heartbeat, decision.passes) !=
-                                                               scheduler::Scheduler::Prospect::nothing;
+                                                               scheduler::Scheduler::ExpectedWork::none;
     return decision;
 }
 
@@ -117,11 +117,11 @@
 // because a placement and the end of its write are many steps of the scheduler for many machines at once.
 awaitable<LeaderTerm::Commands> LeaderTerm::await_runs(model::Heartbeat heartbeat, Decision decision) {
     auto self = shared_from_this();
-    using Prospect = scheduler::Scheduler::Prospect;
+    using ExpectedWork = scheduler::Scheduler::ExpectedWork;
     for (auto waited = 0ms; decision.commands->empty(); waited += runs_poll_interval) {
         const auto expected = context_.scheduler.expected_work(heartbeat, decision.passes);
-        if (expected == Prospect::nothing) break;
-        if (waited >= (expected == Prospect::a_write ? max_wait_for_write : max_wait_for_plan)) break;
+        if (expected == ExpectedWork::none) break;
+        if (waited >= (expected == ExpectedWork::record_write ? max_wait_for_write : max_wait_for_plan)) break;
         co_await net::sleep_for(runs_poll_interval);
         if (!may_answer(Clock::now())) co_return std::nullopt;
         *decision.commands = context_.scheduler.pending_runs(heartbeat);
--- a/src/app/leader_watchdog.cpp
+++ b/src/app/leader_watchdog.cpp
@@ -14,15 +14,15 @@
     if (!coverage.cut_off_from_workers()) return false;
     // A controller that hears no worker and no peer is cut off, which needs no other evidence. A few workers, as a new
     // leader hears at first when a zone is cut off together with the other controllers, are reason enough to stay.
-    const bool isolated = !settings.peers.empty() && coverage.heard == 0 && !peers.hears_any(now);
+    const bool isolated = !settings.peers.empty() && coverage.reporting == 0 && !peers.hears_any(now);
     const double redirects = peers.recent_redirects(now);
-    spdlog::debug("event=few_heartbeats expected={} heard={} redirected={:.0f}", coverage.expected, coverage.heard,
+    spdlog::debug("event=few_heartbeats expected={} heard={} redirected={:.0f}", coverage.expected, coverage.reporting,
                   redirects);
-    const auto received = static_cast<double>(coverage.heard);
+    const auto received = static_cast<double>(coverage.reporting);
     const auto expected = static_cast<double>(coverage.expected);
     if (!isolated && redirects < received + expected * clear_excess_share) return false;
-    spdlog::info("event=cut_off_from_workers expected={} heard={} redirected={:.0f}", coverage.expected, coverage.heard,
-                 redirects);
+    spdlog::info("event=cut_off_from_workers expected={} heard={} redirected={:.0f}", coverage.expected,
+                 coverage.reporting, redirects);
     return true;
 }
 
--- a/src/app/record_maintenance.cpp
+++ b/src/app/record_maintenance.cpp
@@ -27,7 +27,7 @@
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::garbage_collection);
         // After a conflict another controller has changed them; a later leader finds what is still there.
         if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict)
-            context_.scheduler.garbage_kept(garbage);
+            context_.scheduler.restore_garbage(garbage);
     }
 }
 
--- a/src/scheduler/fleet_view.cpp
+++ b/src/scheduler/fleet_view.cpp
@@ -43,7 +43,7 @@
     for (const auto& [name, machine] : state_.inventory.all()) {
         if (!expected_to_report(*machine)) continue;
         ++out.expected;
-        out.heard += now - machine->last_report < model::to_clock(heartbeat_overdue());
+        out.reporting += now - machine->last_report < model::to_clock(heartbeat_overdue());
     }
     return out;
 }
--- a/src/scheduler/fleet_view.hpp
+++ b/src/scheduler/fleet_view.hpp
@@ -11,9 +11,9 @@
 
 // How many of the machines that should report have lately done so.
 struct HeartbeatCoverage {
-    std::size_t expected = 0, heard = 0;
+    std::size_t expected = 0, reporting = 0;
     // Machines do not fail nearly all at once: if so few report, this controller is cut off from them.
-    bool cut_off_from_workers() const { return expected > 2 && heard * 4 < expected; }
+    bool cut_off_from_workers() const { return expected > 2 && reporting * 4 < expected; }
 };
 
 class FleetView {
--- a/src/scheduler/follower_leases.cpp
+++ b/src/scheduler/follower_leases.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t max_machines = 100'000;
 }  // namespace
 
-void FollowerLeases::watched(const std::vector<state::KeyValue>& outcomes, model::TimePoint began) {
+void FollowerLeases::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began) {
     fresh_ = began;
     for (const auto& item : outcomes)
         if (is_cancelled(item)) cancelled(item.key.substr(item.key.rfind('/') + 1), began);
@@ -41,11 +41,11 @@
     const auto [it, first] = sent_on_.try_emplace(report.machine, now);
     const bool back = !first && now - it->second < back_within;
     it->second = now;
-    return back ? keep(report, now, cancellations_known_until) : std::nullopt;
+    return back ? renew(report, now, cancellations_known_until) : std::nullopt;
 }
 
-std::optional<std::vector<model::Command>> FollowerLeases::keep(const model::Heartbeat& report, model::TimePoint now,
-                                                                model::TimePoint cancellations_known_until) const {
+std::optional<std::vector<model::Command>> FollowerLeases::renew(const model::Heartbeat& report, model::TimePoint now,
+                                                                 model::TimePoint cancellations_known_until) const {
     if (!knows_enough(now, cancellations_known_until)) return std::nullopt;
     std::vector<model::Command> commands;
     for (const auto& t : report.tasks)
--- a/src/scheduler/follower_leases.hpp
+++ b/src/scheduler/follower_leases.hpp
@@ -24,16 +24,16 @@
     explicit FollowerLeases(const config::Settings& settings) : settings_(settings) {}
 
     // A read of the outcomes that began then showed these changes since the one before, and no others were missed.
-    void watched(const std::vector<state::KeyValue>& outcomes, model::TimePoint began);
+    void outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began);
     // Changes before then may have been missed.
-    void lost_track(model::TimePoint now) { since_ = now; }
-    // Every outcome on record was among those passed to watched().
-    void knows_all(model::TimePoint now) { since_ = now - model::to_clock(settings_.cancel_deadline); }
+    void watch_interrupted(model::TimePoint now) { since_ = now; }
+    // Every outcome on record was among those passed to outcomes_read().
+    void watch_complete(model::TimePoint now) { since_ = now - model::to_clock(settings_.cancel_deadline); }
 
     // A peer reports that the job is cancelled; cancellations_known_until says what else that covers.
     void cancelled(const std::string& uid, model::TimePoint now);
     // When the last read of the outcomes began.
-    model::TimePoint looked_at() const { return fresh_; }
+    model::TimePoint last_read_at() const { return fresh_; }
 
     // Commands for a worker that no leader answers, or nothing if it must be redirected: the first time to the leader,
     // for it may reach that one; always, while what is known is not enough. `cancellations_known_until`: every
@@ -42,8 +42,8 @@
                                                       model::TimePoint cancellations_known_until = {});
 
     // The same from a leader that rebuilds the records and has no other controller to redirect the worker to.
-    std::optional<std::vector<model::Command>> keep(const model::Heartbeat& report, model::TimePoint now,
-                                                    model::TimePoint cancellations_known_until = {}) const;
+    std::optional<std::vector<model::Command>> renew(const model::Heartbeat& report, model::TimePoint now,
+                                                     model::TimePoint cancellations_known_until = {}) const;
 
   private:
     bool knows_enough(model::TimePoint now, model::TimePoint cancellations_known_until) const;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -41,12 +41,12 @@
     lifecycle_.cancel(*job, now - model::to_clock(ago));
 }
 
-Scheduler::Prospect Scheduler::expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const {
+Scheduler::ExpectedWork Scheduler::expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const {
     const auto* machine = state_.inventory.find(heartbeat.machine);
-    if (!machine || machine->releasing || !RunCommands::is_latest(*machine, heartbeat)) return Prospect::nothing;
-    if (runs_.any_pending(*machine)) return Prospect::a_write;
+    if (!machine || machine->releasing || !RunCommands::is_latest(*machine, heartbeat)) return ExpectedWork::none;
+    if (runs_.any_pending(*machine)) return ExpectedWork::record_write;
     const bool unplanned = placement_.any_waiting() && passes == placement_.passes();
-    return unplanned && !machine->cordoned && machine->in_use() < 1 ? Prospect::a_plan : Prospect::nothing;
+    return unplanned && !machine->cordoned && machine->in_use() < 1 ? ExpectedWork::placement : ExpectedWork::none;
 }
 
 void Scheduler::machines_launched(const fleet::Pool& pool, const std::vector<std::string>& machines, TimePoint now) {
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -61,8 +61,8 @@
     }
     // What to expect for a worker whose heartbeat is not answered yet. a_write: tasks placed there are not on record
     // yet; a_plan: it has room, and jobs wait that were not planned since that many passes.
-    enum class Prospect : std::uint8_t { nothing, a_plan, a_write };
-    Prospect expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const;
+    enum class ExpectedWork : std::uint8_t { none, placement, record_write };
+    ExpectedWork expected_work(const model::Heartbeat& heartbeat, std::uint64_t passes) const;
     // The number of placement passes so far.
     std::uint64_t passes() const { return placement_.passes(); }
     // Runs of tasks placed since that heartbeat, for its answer; none if a newer heartbeat has come.
@@ -119,7 +119,7 @@
     // Removes up to so many records of jobs that are over, for when there is nothing better to write.
     state::Txn take_garbage(std::size_t most) { return writer_.take_garbage(most); }
     // The removal was not committed.
-    void garbage_kept(const state::Txn& txn) { state_.garbage.restore(txn); }
+    void restore_garbage(const state::Txn& txn) { state_.garbage.restore(txn); }
 
     // --- queries ---
 
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -200,13 +200,13 @@
     outcome.mod_revision = 1'000'000;
     outcome.value = boost::json::object{{"state", "aborted"}, {"at", w.wall_ms}, {"shape", "standing"}, {"shards", 1}};
     const auto told = w.now;
-    w.pass(Seconds(30));
+    w.advance(Seconds(30));
     w.wall_ms += 30'000;
     w.leader->job_changed(outcome, w.now, w.wall_ms);
     TimePoint given_up = TimePoint::max();
     // For that reason, the only one that counts in an outage.
     for (; w.now < told + model::to_clock(w.settings.cancel_deadline * 2) && given_up == TimePoint::max();
-         w.pass(Seconds(1)))
+         w.advance(Seconds(1)))
         for (const auto& r : w.leader->scale_in(w.now))
             if (r.why == scheduler::cancelled_work) given_up = w.now;
     EXPECT_LT(given_up, told + model::to_clock(w.settings.cancel_deadline) - 5s);
@@ -227,7 +227,7 @@
     m.run_all();
     EXPECT_TRUE(w.leader->cancelled_by_peer("run-1", w.now));
     EXPECT_FALSE(w.leader->cancelled_by_peer("run-1", w.now));
-    EXPECT_TRUE(w.ordered(w.heartbeat(m), CommandType::kill, "run-1", 0));
+    EXPECT_TRUE(w.has_command(w.heartbeat(m), CommandType::kill, "run-1", 0));
 }
 
 }  // namespace flintdale::test
--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -42,7 +42,7 @@
         recovery.term_won(term);
     }
     // The service forgets everything, and goes on counting from where that leaves it.
-    void wipe() { store.keys = Keys(); }
+    void wipe() { store.keys = InMemoryStore(); }
     std::string keys(const std::string& prefix) const {
         std::vector<state::Change> out;
         for (const auto& item : store.keys.range(prefix)) {
--- a/tests/guarded_store_test.cpp
+++ b/tests/guarded_store_test.cpp
@@ -83,7 +83,7 @@
 TEST_F(GuardedStoreTest, WipedStoreDoesNotProveThatAJobNeverExisted) {
     store.open(make_marker());
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
-    inner.keys = Keys();
+    inner.keys = InMemoryStore();
     EXPECT_EQ(prove_work_absent("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(suspicions.size(), 1u);
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -72,11 +72,11 @@
     void watch(Seconds s) {
         for (; s.count() > 0; s -= Seconds(1)) {
             now += 1s;
-            follower.watched({}, now);
+            follower.outcomes_read({}, now);
         }
     }
     void SetUp() override {
-        follower.lost_track(now);
+        follower.watch_interrupted(now);
         watch(settings.cancel_deadline);
     }
     std::optional<std::vector<Command>> asked_twice(const model::Heartbeat& r) {
@@ -98,7 +98,7 @@
     // So many seconds, in which machines report every third, as they should, but for the first so many of zone b.
     void live(int seconds, std::size_t silent_there) {
         for (const int end = second + seconds; second < end; ++second) {
-            pass(Seconds(1));
+            advance(Seconds(1));
             for (std::size_t i = 0; i < here.size(); ++i)
                 if ((static_cast<int>(i) + second) % 3 == 0) {
                     heartbeat(here[i]);
@@ -108,7 +108,7 @@
     }
     std::size_t returned(const std::string& prefix) const {
         std::size_t n = 0;
-        for (const auto& name : returns()) n += name.starts_with(prefix);
+        for (const auto& name : machines_to_release()) n += name.starts_with(prefix);
         return n;
     }
 };
@@ -281,7 +281,7 @@
 }
 
 TEST_F(FollowerLeasesTest, StopsCancelledTasks) {
-    follower.watched({outcome("run-1", "aborted"), outcome("run-2", "done")}, now);
+    follower.outcomes_read({outcome("run-1", "aborted"), outcome("run-2", "done")}, now);
     const auto commands = asked_twice(with_task("run-1"));
     ASSERT_TRUE(commands);
     ASSERT_EQ(commands->size(), 1u);
@@ -302,7 +302,7 @@
 }
 
 TEST_F(FollowerLeasesTest, WaitsUntilWhatWasCancelledBeforeItWatchedIsGone) {
-    follower.lost_track(now);
+    follower.watch_interrupted(now);
     watch(settings.cancel_deadline - Seconds(1));
     EXPECT_FALSE(asked_twice(with_task("run-1")));
     watch(Seconds(1));
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -155,7 +155,7 @@
     accept(after("run-4", {"run-2", "run-3"}));
     accept(job("run-5", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     commit();
     for (const auto* uid : {"run-2", "run-3", "run-4"}) {
         EXPECT_EQ(state_of(uid), "aborted") << uid;
@@ -172,7 +172,7 @@
     accept(job("run-1", JobKind::array, 1));
     for (int i = 2; i < 12; ++i) accept(after("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)}));
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     lower_limits(2048, 4);
     ASSERT_TRUE(commit_one());  // of three that it takes
     elect();
@@ -190,7 +190,7 @@
     meet(m1);
     ASSERT_TRUE(leader->place(now));
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     lower_limits(2048, 4);
     for (int i = 0; i < 75; ++i) ASSERT_TRUE(commit_one());
     for (int i = 0; i < 300; ++i) ASSERT_EQ(state_of("run-b" + std::to_string(i)), "aborted") << i;
@@ -205,7 +205,7 @@
     meet(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
-    tell("run-1");
+    sync_job("run-1");
     commit();
     EXPECT_EQ(state_of("run-2"), "aborted");
 }
@@ -232,7 +232,7 @@
     accept(last);
     EXPECT_EQ(leader->job("run-1")->priority, Priority::high);
     ASSERT_TRUE(cancel("run-2"));
-    tell("run-2");
+    sync_job("run-2");
     commit();
     EXPECT_EQ(state_of("run-2"), "aborted");
     EXPECT_EQ(leader->job("run-1")->priority, Priority::idle);
@@ -285,7 +285,7 @@
     accept(job("run-1", JobKind::array, 1));
     accept(after("run-2", {"run-1"}));
     run("run-1", m1);
-    pass(Seconds(300));
+    advance(Seconds(300));
     wall_ms = 1'300'000;
     finish("run-1", m1);
     EXPECT_EQ(leader->job("run-2")->arrived, now);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -136,11 +136,11 @@
     EXPECT_TRUE(w.heartbeat(m).empty()) << "what runs goes on";
     m.finish("run-1", 0, model::ExitReason::done);
     w.heartbeat(m);
-    w.pass(Seconds(5));
+    w.advance(Seconds(5));
     EXPECT_FALSE(w.place());
     for (const std::uint32_t i : {1u, 2u}) m.finish("run-1", i, model::ExitReason::done);
     w.heartbeat(m);
-    w.pass(Seconds(5));
+    w.advance(Seconds(5));
     EXPECT_TRUE(w.place());
     EXPECT_EQ(w.leader->job("run-1")->placed, 4u);
 }
@@ -160,14 +160,14 @@
     w.heartbeat(silent);
     w.heartbeat(other);
     w.heartbeat(other);
-    w.pass(Seconds(100));
+    w.advance(Seconds(100));
     w.heartbeat(other);
     EXPECT_FALSE(w.place());
     // Under the next leader as well, which knows the placements from the records only.
     w.elect();
     w.heartbeat(other);
     w.heartbeat(other);
-    w.pass(Seconds(100));
+    w.advance(Seconds(100));
     w.heartbeat(other);
     EXPECT_FALSE(w.place());
     w.leader->machines_released({silent.name}, w.now);
@@ -223,7 +223,7 @@
             w.heartbeat(*m);
         }
         w.place();
-        w.pass(Seconds(1));
+        w.advance(Seconds(1));
     }
     EXPECT_EQ(stopped, 2u);
     EXPECT_NE(w.machine_of("run-2", 0), "");
@@ -231,7 +231,7 @@
     EXPECT_FALSE(w.leader->teams().below_guarantee("sure"));
     // And it is not stopped in turn, by whoever has a higher rank and no guarantee.
     for (int round = 0; round < 5; ++round) {
-        w.pass(Seconds(3));
+        w.advance(Seconds(3));
         for (auto* m : {&m1, &m2})
             for (const auto& o : w.heartbeat(*m)) EXPECT_NE(o.type, CommandType::kill) << o.id.uid;
         w.place();
@@ -258,7 +258,7 @@
     for (int round = 0; round < 4; ++round) {
         for (const auto& o : w.heartbeat(m)) EXPECT_NE(o.type, CommandType::kill);
         w.place();
-        w.pass(Seconds(2));
+        w.advance(Seconds(2));
     }
     EXPECT_EQ(w.machine_of("run-1", 0), m.name);
     EXPECT_FALSE(w.leader->scale_out(w.now).empty()) << "it gets a machine of its own";
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -20,7 +20,7 @@
         list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
     w.heartbeat(heard);
     w.heartbeat(heard);
-    w.pass(Seconds(20));
+    w.advance(Seconds(20));
     EXPECT_FALSE(w.place()) << "no list has come yet";
     w.leader->machines_listed(list, w.now);
     EXPECT_FALSE(w.place()) << "the other machine may hold anything";
@@ -48,10 +48,10 @@
     w.heartbeat(heard);
     w.heartbeat(heard);
     w.leader->machines_listed(list(MachineStatus::booting), w.now);
-    w.pass(Seconds(3));
+    w.advance(Seconds(3));
     w.heartbeat(heard);
     EXPECT_FALSE(w.place()) << "that list may be older than this term, and the machine be up since";
-    w.pass(Seconds(20));
+    w.advance(Seconds(20));
     w.heartbeat(heard);
     w.leader->machines_listed(list(MachineStatus::running), w.now);
     EXPECT_FALSE(w.place()) << "it came up, nobody knows when";
@@ -77,7 +77,7 @@
         list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
     w.heartbeat(heard);
     w.heartbeat(heard);
-    w.pass(Seconds(20));
+    w.advance(Seconds(20));
     w.heartbeat(heard);
     w.leader->machines_listed(list, w.now);
     EXPECT_TRUE(w.place());
@@ -107,11 +107,11 @@
     EXPECT_EQ(w.machine_of("run-1", 0), "") << "a report that may be old proves nothing";
     m.fencing_token = w.term;
     const auto commands = w.heartbeat(m);
-    EXPECT_FALSE(w.ordered(commands, CommandType::kill, "run-1", 0));
+    EXPECT_FALSE(w.has_command(commands, CommandType::kill, "run-1", 0));
     EXPECT_EQ(w.machine_of("run-1", 0), m.name);
     EXPECT_EQ(w.machine_of("run-1", 2), m.name);
     w.commit();
-    w.pass(Seconds(20));
+    w.advance(Seconds(20));
     w.leader->machines_listed({}, w.now);
     w.heartbeat(m);
     ASSERT_TRUE(w.place());
@@ -134,7 +134,7 @@
     m.tasks.push_back(t);
     w.heartbeat(m);
     w.accept(job("run-9", model::JobKind::array, 1));  // submitted again, as a new job
-    w.pass(Seconds(20));
+    w.advance(Seconds(20));
     w.leader->machines_listed({}, w.now);
     EXPECT_FALSE(w.place());
     m.fencing_token = w.term;
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -174,7 +174,7 @@
             workers[i].tasks = {t};
             heartbeat(workers[i]);
         }
-        pass(Seconds(9));  // the records of ended tasks have waited long enough
+        advance(Seconds(9));  // the records of ended tasks have waited long enough
         leader->place(now);
         int writes = 0;
         while (commit_one()) {
@@ -257,7 +257,7 @@
     settle();
     meet(m1);
     ASSERT_TRUE(place());
-    ASSERT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
+    ASSERT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-2", 0));
     elect();
     EXPECT_EQ(machine_of("run-2", 1), "n-000001");
     heartbeat(m1);
@@ -286,7 +286,7 @@
     ASSERT_TRUE(leader->knows("run-2"));
     EXPECT_EQ(leader->job("run-2")->spec.dependencies.size(), 200u);
     ASSERT_TRUE(cancel("run-2"));
-    tell("run-2");
+    sync_job("run-2");
     commit();
     EXPECT_TRUE(keys.range("jobs/work/").empty());
 }
--- a/tests/recovery_coordinator_test.cpp
+++ b/tests/recovery_coordinator_test.cpp
@@ -78,7 +78,7 @@
     ASSERT_EQ(accepted, Outcome::ok);
     // The others have rebuilt what there was before.
     const auto revision = store.keys.revision();
-    store.keys = Keys();
+    store.keys = InMemoryStore();
     while (store.keys.revision() < revision + 10) put("other", 1);
     state::GenerationMarker marker;
     marker.generation = 2;
--- a/tests/scheduler_cancellation_test.cpp
+++ b/tests/scheduler_cancellation_test.cpp
@@ -10,18 +10,18 @@
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     const auto commands = heartbeat(m1);
-    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 0));
-    EXPECT_TRUE(ordered(commands, CommandType::kill, "run-1", 1));
+    EXPECT_TRUE(has_command(commands, CommandType::kill, "run-1", 0));
+    EXPECT_TRUE(has_command(commands, CommandType::kill, "run-1", 1));
 
     accept(job("run-2", JobKind::array, 1));
     settle();
     heartbeat(m1);
     ASSERT_TRUE(place());
     ASSERT_TRUE(cancel("run-2"));
-    tell("run-2");
-    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
+    sync_job("run-2");
+    EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-2", 0));
     commit();
     EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "nothing of a cancelled job stays open";
 }
@@ -33,7 +33,7 @@
     report_twice(m1);
     ASSERT_TRUE(cancel("run-1"));  // by another controller; the leader does not know
     place();
-    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+    EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(SchedulerTest, LeaderCutOffFromTheStoreStopsAnsweringInTime) {
@@ -50,14 +50,14 @@
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
-    pass(settings.cancel_deadline - 9s);
+    advance(settings.cancel_deadline - 9s);
     elect();
     leader->job_over("run-1", now, settings.cancel_deadline - 9s);
     heartbeat(m2);
-    EXPECT_TRUE(returns().empty()) << "it may only be late";
-    pass(settings.heartbeat_interval * 1.25 + 1100ms);
+    EXPECT_TRUE(machines_to_release().empty()) << "it may only be late";
+    advance(settings.heartbeat_interval * 1.25 + 1100ms);
     heartbeat(m2);
-    EXPECT_EQ(returns(), std::vector<std::string>{m1.name});
+    EXPECT_EQ(machines_to_release(), std::vector<std::string>{m1.name});
 }
 
 TEST_F(SchedulerTest, UnreachableMachineWithCancelledWorkIsReleasedInTime) {
@@ -67,13 +67,13 @@
     for (int i = 10; i < 14; ++i) others.push_back(machine("n-0000" + std::to_string(i), "a"));
     for (auto& w : others) report_twice(w);
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     // All machines fall silent at once, which otherwise buys them patience.
     std::vector<std::string> going;
     const auto cancelled_at = now;
     while (going.empty() && now < cancelled_at + model::to_clock(settings.cancel_deadline)) {
-        pass(1s);
-        going = returns();
+        advance(1s);
+        going = machines_to_release();
     }
     ASSERT_FALSE(going.empty());
     EXPECT_LT(now, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
@@ -92,10 +92,10 @@
     for (auto& w : silent) report_twice(w);
     for (auto& w : others) report_twice(w);
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     const auto cancelled_at = now;
     std::optional<TimePoint> named, first;
-    for (; now < cancelled_at + model::to_clock(settings.cancel_deadline); pass(1s)) {
+    for (; now < cancelled_at + model::to_clock(settings.cancel_deadline); advance(1s)) {
         for (auto& w : others) heartbeat(w);
         const auto going = leader->scale_in(now);
         EXPECT_LE(going.size(), 100u);
@@ -113,10 +113,10 @@
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     m1.termination_notice = Seconds(5);
     leader->handle_heartbeat(m1.report(), now);
-    pass(Seconds(settings.cancel_deadline * 0.6));
+    advance(Seconds(settings.cancel_deadline * 0.6));
     const auto going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
--- a/tests/scheduler_gang_test.cpp
+++ b/tests/scheduler_gang_test.cpp
@@ -64,7 +64,7 @@
     m2 = machine("n-000004", "b");
     report_twice(m2);
     EXPECT_FALSE(place()) << "n-000001 still holds a task of the first attempt";
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", machine_of("run-1", 0) == "n-000001" ? 0 : 1));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-1", machine_of("run-1", 0) == "n-000001" ? 0 : 1));
     heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->tasks[0].attempt, 2u);
@@ -95,7 +95,7 @@
     m2.find("run-1", on_m2)->status = TaskStatus::waiting;
     heartbeat(m2);
     commit();
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", on_m1));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", on_m1));
     const auto commands = heartbeat(m2);
     ASSERT_EQ(commands.size(), 2u);
     EXPECT_EQ(commands[0].type, CommandType::kill);
@@ -128,11 +128,11 @@
     other.need = {8, 2, 40};
     accept(other);
     settle();
-    pass(Seconds(20));
+    advance(Seconds(20));
     heartbeat(m1);
     leader->relocate(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other may find a place soon";
-    pass(Seconds(15));
+    advance(Seconds(15));
     heartbeat(m1);
     leader->relocate(now);
     EXPECT_EQ(machine_of("run-1", on_m1), "");
--- a/tests/scheduler_heartbeat_test.cpp
+++ b/tests/scheduler_heartbeat_test.cpp
@@ -14,12 +14,12 @@
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
     for (int i = 0; i < 20; ++i) {  // a minute without a word from n-000001, far beyond its lease
-        pass(3s);
+        advance(3s);
         heartbeat(m2);
         place();
         ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
     }
-    const auto going = returns();
+    const auto going = machines_to_release();
     ASSERT_EQ(std::count(going.begin(), going.end(), "n-000001"), 1);
     ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
     leader->machines_released({"n-000001"}, now);
@@ -39,9 +39,9 @@
     report_twice(m2);
     EXPECT_FALSE(place()) << "the task may be on n-000001";
     auto commands = heartbeat(m1);
-    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
+    EXPECT_FALSE(has_command(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
     commands = heartbeat(m1);
-    EXPECT_TRUE(ordered(commands, CommandType::run, "run-1", 0));
+    EXPECT_TRUE(has_command(commands, CommandType::run, "run-1", 0));
     EXPECT_EQ(next.count("run-1")->done, 0u);
 }
 
@@ -52,12 +52,12 @@
     report_twice(m1);
     ASSERT_TRUE(place());
     const auto old_report = m1.report();
-    ASSERT_TRUE(ordered(heartbeat(m1, false), CommandType::run, "run-1", 0));
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
+    ASSERT_TRUE(has_command(heartbeat(m1, false), CommandType::run, "run-1", 0));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
     heartbeat(m1);
     EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "a report from before must not undo what is known";
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
-    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+    EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(SchedulerTest, NewIncarnationIsEvidenceThatTasksAreGone) {
@@ -80,7 +80,7 @@
     second.team = "limited";
     accept(second);
     for (int i = 0; i < 20; ++i) {
-        pass(3s);
+        advance(3s);
         heartbeat(m2);
         EXPECT_FALSE(place());
     }
@@ -121,8 +121,8 @@
     }
     heartbeat(m1);
     const auto commands = heartbeat(m1);
-    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 0));
-    EXPECT_FALSE(ordered(commands, CommandType::run, "run-1", 1));
+    EXPECT_FALSE(has_command(commands, CommandType::run, "run-1", 0));
+    EXPECT_FALSE(has_command(commands, CommandType::run, "run-1", 1));
     heartbeat(m2);
     heartbeat(m2);
     EXPECT_EQ(leader->job("run-2")->running, 2u);
@@ -177,7 +177,7 @@
 
 // Commands travel in answers only. Where a heartbeat makes room, its own answer may still carry the next run command.
 TEST_F(SchedulerTest, DelayedResponseCarriesNewPlacementsUnlessANewerHeartbeatCame) {
-    using Prospect = scheduler::Scheduler::Prospect;
+    using ExpectedWork = scheduler::Scheduler::ExpectedWork;
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});  // fills the machine
     accept(job("run-2", JobKind::array, 1));
@@ -188,15 +188,15 @@
     const auto report = m1.report();
     ASSERT_TRUE(leader->handle_heartbeat(report, now)->empty());
     const auto passes = leader->passes();
-    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_plan);
+    EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::placement);
     ASSERT_TRUE(leader->place(now));
-    EXPECT_EQ(leader->expected_work(report, passes), Prospect::a_write);
+    EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::record_write);
     EXPECT_TRUE(leader->pending_runs(report).empty()) << "not on record yet";
     commit();
     const auto newer = m1.report();
     leader->handle_heartbeat(newer, now);
     EXPECT_TRUE(leader->pending_runs(report).empty()) << "that answer would come too late";
-    EXPECT_EQ(leader->expected_work(newer, passes), Prospect::nothing) << "the newer report's answer has it";
+    EXPECT_EQ(leader->expected_work(newer, passes), ExpectedWork::none) << "the newer report's answer has it";
 }
 
 TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
@@ -208,7 +208,7 @@
     leader->handle_heartbeat(report, now);
     ASSERT_TRUE(place());
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
+    sync_job("run-1");
     EXPECT_TRUE(leader->pending_runs(report).empty());
 }
 
@@ -217,11 +217,11 @@
 TEST_F(SchedulerTest, PausedLeaderDoesNotBlameTheMachines) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
-    pass(40s);
+    advance(40s);
     leader->process_paused(40s);
-    EXPECT_TRUE(returns().empty());
-    pass(40s);
-    EXPECT_FALSE(returns().empty()) << "real silence still counts";
+    EXPECT_TRUE(machines_to_release().empty());
+    advance(40s);
+    EXPECT_FALSE(machines_to_release().empty()) << "real silence still counts";
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_placement_test.cpp
+++ b/tests/scheduler_placement_test.cpp
@@ -30,7 +30,7 @@
     start(together, {&m1});
     ASSERT_EQ(leader->job("run-1")->placed, 2u);
     for (int i = 0; i < 10; ++i) {
-        pass(3s);
+        advance(3s);
         report_twice(m2);
         EXPECT_FALSE(place()) << "two tasks may still be in zone a";
     }
@@ -97,7 +97,7 @@
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
     EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a higher rank waits for nobody";
-    pass(Seconds(25));
+    advance(Seconds(25));
     report_twice(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its time is gone";
@@ -139,7 +139,7 @@
     leader->relocate(now);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "it may still be there";
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-1", 0));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-1", 0));
     heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
@@ -153,7 +153,7 @@
     accept(job("run-bad", JobKind::array, 1));  // fails wherever it is put
     settle();
     for (int round = 0; round < 5; ++round) {
-        pass(90s);
+        advance(90s);
         for (auto& w : all) report_twice(w);
         place();
         for (auto& w : all) {
@@ -195,7 +195,7 @@
     EXPECT_EQ(leader->running_machines(now), 2u) << "two such jobs on it do not spoil a machine";
     EXPECT_FALSE(place()) << "a pause first";
     EXPECT_TRUE(leader->scale_out(now).empty());
-    pass(20s);
+    advance(20s);
     for (auto* w : {&m1, &m2}) heartbeat(*w);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->placed, 1u);
--- a/tests/scheduler_preemption_test.cpp
+++ b/tests/scheduler_preemption_test.cpp
@@ -14,7 +14,7 @@
     accept(replica("run-3"));
     place();
     EXPECT_EQ(machine_of("run-3", 0), "") << "n-000002 has room, but not the image";
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::kill, "run-2", 0));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-2", 0));
     heartbeat(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
@@ -26,7 +26,7 @@
     accept(replica("run-3"));
     place();
     ASSERT_EQ(machine_of("run-3", 0), "");
-    pass(8s);  // n-000001 hangs
+    advance(8s);  // n-000001 hangs
     heartbeat(m2);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-3", 0), "n-000002");
@@ -49,7 +49,7 @@
     place();
     std::vector<Command> commands = heartbeat(m1);
     const int kills =
-        ordered(commands, CommandType::kill, "run-1", 0) + ordered(commands, CommandType::kill, "run-1", 1);
+        has_command(commands, CommandType::kill, "run-1", 0) + has_command(commands, CommandType::kill, "run-1", 1);
     EXPECT_EQ(kills, 1) << "no more than it takes";
     EXPECT_EQ(machine_of("run-3", 0), "") << "the room is not free before the task is gone";
     heartbeat(m1);
@@ -84,7 +84,7 @@
     accept(gang);
     EXPECT_EQ(kills(), 0u) << "what cannot make room for all of the gang is not stopped";
     ASSERT_TRUE(cancel("run-3"));
-    tell("run-3");
+    sync_job("run-3");
     gang.uid = "run-2";
     gang.tasks = 2;
     accept(gang);
--- a/tests/scheduler_records_test.cpp
+++ b/tests/scheduler_records_test.cpp
@@ -13,9 +13,9 @@
     settle();
     report_twice(m1);
     ASSERT_TRUE(leader->place(now));
-    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+    EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
     commit();
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-1", 0));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(SchedulerTest, OldLeaderCannotRecordAPlacement) {
@@ -70,10 +70,10 @@
     EXPECT_EQ(keys.commit(late.txn).outcome, state::Outcome::ok);
     ASSERT_TRUE(on_record("run-1", m1.name));
     // Nothing may start on the second machine before the record names it.
-    EXPECT_FALSE(ordered(heartbeat(m2), CommandType::run, "run-1", 0));
+    EXPECT_FALSE(has_command(heartbeat(m2), CommandType::run, "run-1", 0));
     commit();
     EXPECT_TRUE(on_record("run-1", m2.name));
-    EXPECT_TRUE(ordered(heartbeat(m2), CommandType::run, "run-1", 0));
+    EXPECT_TRUE(has_command(heartbeat(m2), CommandType::run, "run-1", 0));
 }
 
 TEST_F(SchedulerTest, JobIsDoneOnlyWhenItsLastTaskIs) {
@@ -144,13 +144,13 @@
     start(job("run-1", JobKind::array, 2), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
     heartbeat(m1);
-    EXPECT_FALSE(ordered(heartbeat(m1), CommandType::clear, "run-1", 0));
+    EXPECT_FALSE(has_command(heartbeat(m1), CommandType::clear, "run-1", 0));
     elect();  // the leader dies without having written it: the worker still tells
     report_twice(m1);
     EXPECT_EQ(leader->count("run-1")->done, 1u);
     settle();
     place();  // puts on record what is due
-    EXPECT_TRUE(ordered(heartbeat(m1), CommandType::clear, "run-1", 0));
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::clear, "run-1", 0));
 }
 
 // With thousands of tasks ending all the time, a write for each would leave none for users and placements.
--- a/tests/scheduler_scaling_test.cpp
+++ b/tests/scheduler_scaling_test.cpp
@@ -12,13 +12,13 @@
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_TRUE(cancel("run-1"));
-    tell("run-1");
-    pass(Seconds(settings.cancel_deadline * 0.6));
+    sync_job("run-1");
+    advance(Seconds(settings.cancel_deadline * 0.6));
     auto going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
     leader->release_requested(going);
-    pass(2s);
+    advance(2s);
     going = leader->scale_in(now);
     ASSERT_EQ(going.size(), 1u);
     EXPECT_EQ(going[0].why, scheduler::cancelled_work);
@@ -36,19 +36,19 @@
     };
     all_report();
     leader->relocate(now);
-    EXPECT_TRUE(returns().empty());
+    EXPECT_TRUE(machines_to_release().empty());
     for (int i = 0; i < 9; ++i) {  // 27 s, less than a boot
-        pass(3s);
+        advance(3s);
         all_report();
         leader->relocate(now);
     }
-    EXPECT_TRUE(returns().empty());
+    EXPECT_TRUE(machines_to_release().empty());
     for (int i = 0; i < 3; ++i) {
-        pass(3s);
+        advance(3s);
         all_report();
         leader->relocate(now);
     }
-    EXPECT_FALSE(returns().empty());
+    EXPECT_FALSE(machines_to_release().empty());
 }
 
 TEST_F(SchedulerTest, UnexpectedMachineIsUsedOrReturned) {
@@ -62,11 +62,11 @@
     auto idle = machine("n-000009", "a");
     report_twice(idle);
     for (int i = 0; i < 40; ++i) {
-        pass(3s);
+        advance(3s);
         heartbeat(idle);
         heartbeat(m1);
     }
-    EXPECT_EQ(returns(), std::vector<std::string>{"n-000009"});
+    EXPECT_EQ(machines_to_release(), std::vector<std::string>{"n-000009"});
 }
 
 // inc-8739, inc-e02a: a leader that lost the workers alone released the whole fleet, and launched it again.
@@ -76,12 +76,12 @@
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) report_twice(w);
     EXPECT_FALSE(leader->heartbeat_coverage(now).cut_off_from_workers());
-    pass(settings.heartbeat_interval * 1.25 + 2s);
+    advance(settings.heartbeat_interval * 1.25 + 2s);
     EXPECT_TRUE(leader->heartbeat_coverage(now).cut_off_from_workers())
         << "and that is soon, for every lease is running out";
     accept(job("run-1", JobKind::array, 40));
-    for (const auto later = now + model::to_clock(settings.worker_lease * 2); now < later; pass(1s)) {
-        EXPECT_TRUE(returns().empty());
+    for (const auto later = now + model::to_clock(settings.worker_lease * 2); now < later; advance(1s)) {
+        EXPECT_TRUE(machines_to_release().empty());
         EXPECT_TRUE(leader->scale_out(now).empty()) << "what is needed is a hearing, not machines";
     }
 }
@@ -94,8 +94,8 @@
     for (int i = 1; i < 7; ++i) all.push_back(machine("n-00000" + std::to_string(i), i < 4 ? "a" : "b"));
     for (auto& w : all) report_twice(w);
     const auto cut = now;
-    while (now < cut + 60s && returns().empty()) {
-        pass(1s);
+    while (now < cut + 60s && machines_to_release().empty()) {
+        advance(1s);
         for (std::size_t k = 0; k < 3; ++k) heartbeat(all[k]);
     }
     EXPECT_GT(now, cut + 40s);
@@ -115,12 +115,12 @@
     }
     for (auto& w : all) report_twice(w);
     for (int i = 0; i < 5; ++i) {  // half of them say nothing any more
-        pass(3s);
+        advance(3s);
         for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
     }
-    EXPECT_TRUE(returns().empty()) << "so many at once are rather out of reach than dead";
+    EXPECT_TRUE(machines_to_release().empty()) << "so many at once are rather out of reach than dead";
     leader->machines_listed(list, now);
-    EXPECT_EQ(returns(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
+    EXPECT_EQ(machines_to_release(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
 }
 
 // Tasks that waited for machines that were late or never came up waited in vain.
@@ -134,9 +134,9 @@
     ASSERT_EQ(commands.size(), 1u);
     ASSERT_EQ(commands[0].count, 3);
     leader->machines_launched(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
-    pass(Seconds(45));
+    advance(Seconds(45));
     EXPECT_TRUE(leader->scale_out(now).empty()) << "they may take half as long again as usual";
-    pass(Seconds(5));
+    advance(Seconds(5));
     const auto again = leader->scale_out(now);
     ASSERT_FALSE(again.empty());
     EXPECT_NE(again[0].pool, commands[0].pool);
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -7,7 +7,7 @@
 
 class FakeStore : public state::Store {
   public:
-    Keys keys;
+    InMemoryStore keys;
     bool refuse = false;         // an outage, or a refusal of this controller alone
     int lose_answers = 0;        // so many transactions are carried out, but their answers are lost
     int stall = 0;               // so many transactions are carried out, and their answers never come
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -80,7 +80,7 @@
     return {small, large};
 }
 
-state::TxnResult Keys::commit(const state::Txn& txn) {
+state::TxnResult InMemoryStore::commit(const state::Txn& txn) {
     state::TxnResult r;
     bool large = txn.changes.size() > txn_ops || txn.conditions.size() > txn_ops * 4;
     for (const auto& c : txn.changes)
@@ -108,12 +108,12 @@
     return r;
 }
 
-state::KeyValue Keys::get(const std::string& key) const {
+state::KeyValue InMemoryStore::get(const std::string& key) const {
     const auto it = items_.find(key);
     return it == items_.end() ? state::KeyValue{key, {}, 0} : it->second;
 }
 
-std::vector<state::KeyValue> Keys::range(const std::string& prefix) const {
+std::vector<state::KeyValue> InMemoryStore::range(const std::string& prefix) const {
     std::vector<state::KeyValue> out;
     for (const auto& [key, item] : items_)
         if (key.starts_with(prefix)) out.push_back(item);
@@ -141,7 +141,7 @@
     return nullptr;
 }
 
-void Worker::obey(const std::vector<Command>& commands, std::uint64_t answer_token) {
+void Worker::apply_commands(const std::vector<Command>& commands, std::uint64_t answer_token) {
     if (answer_token < fencing_token) return;
     fencing_token = answer_token;
     for (const auto& o : commands) {
@@ -198,7 +198,7 @@
     txn.conditions.push_back({scheduler::work_key(spec.uid, 0), 0});
     txn.changes = scheduler::accepted_records(spec, record_format);
     ASSERT_EQ(keys.commit(txn).outcome, state::Outcome::ok);
-    if (leader) tell(spec.uid);
+    if (leader) sync_job(spec.uid);
 }
 
 bool SchedulerHarness::cancel(const std::string& uid) {
@@ -213,7 +213,7 @@
     return keys.commit(txn).outcome == state::Outcome::ok;
 }
 
-void SchedulerHarness::tell(const std::string& uid) {
+void SchedulerHarness::sync_job(const std::string& uid) {
     for (const auto& key : {scheduler::work_key(uid, 0), scheduler::outcome_key(uid)})
         leader->job_changed(keys.get(key), now);
 }
@@ -221,7 +221,7 @@
 std::vector<Command> SchedulerHarness::heartbeat(Worker& w, bool answer_arrives) {
     auto commands = leader->handle_heartbeat(w.report(), now);
     EXPECT_TRUE(commands.has_value());
-    if (commands && answer_arrives) w.obey(*commands, term);
+    if (commands && answer_arrives) w.apply_commands(*commands, term);
     return commands.value_or(std::vector<Command>{});
 }
 
@@ -270,7 +270,7 @@
     return any;
 }
 
-std::vector<std::string> SchedulerHarness::returns() const {
+std::vector<std::string> SchedulerHarness::machines_to_release() const {
     std::vector<std::string> out;
     for (const auto& r : leader->scale_in(now)) out.push_back(r.machine);
     return out;
@@ -288,8 +288,8 @@
     return j->tasks[task].machine->name;
 }
 
-bool SchedulerHarness::ordered(const std::vector<Command>& commands, CommandType type, const std::string& uid,
-                               std::uint32_t task) const {
+bool SchedulerHarness::has_command(const std::vector<Command>& commands, CommandType type, const std::string& uid,
+                                   std::uint32_t task) const {
     for (const auto& o : commands)
         if (o.type == type && o.id.uid == uid && o.id.index == task) return true;
     return false;
--- a/tests/support/scheduler_harness.hpp
+++ b/tests/support/scheduler_harness.hpp
@@ -29,7 +29,7 @@
 std::vector<model::MachineType> types();
 
 // The state service's keys.
-class Keys {
+class InMemoryStore {
   public:
     // What a value and a transaction may hold; more is refused for good.
     std::size_t value_bytes = 64 * 1024, txn_ops = 1000;
@@ -53,7 +53,7 @@
 
     model::Heartbeat report();
     // Carries out the orders of an answer with that token.
-    void obey(const std::vector<Command>& commands, std::uint64_t answer_token);
+    void apply_commands(const std::vector<Command>& commands, std::uint64_t answer_token);
     model::TaskReport* find(const std::string& uid, std::uint32_t index);
     void finish(const std::string& uid, std::uint32_t index, model::ExitReason exit_reason);
     void run_all();
@@ -64,7 +64,7 @@
     config::Settings settings = test::settings();
     config::OperatorSettings operator_settings;
     state::RecordFormat record_format{settings};
-    Keys keys;
+    InMemoryStore keys;
     TimePoint now{1000s};
     std::uint64_t term = 0;
     std::int64_t wall_ms = 1'000'000;  // the time of day
@@ -74,7 +74,7 @@
     Scheduler& elect();
     void accept(const model::JobSpec& spec);  // as any controller does, and the leader learns of it
     bool cancel(const std::string& uid);      // likewise; false if it was too late
-    void tell(const std::string& uid);        // the leader learns what is on record of the job
+    void sync_job(const std::string& uid);    // the leader learns what is on record of the job
     // One report and its answer; the orders are carried out unless the answer is lost.
     std::vector<Command> heartbeat(Worker& w, bool answer_arrives = true);
     void commit();                                                    // everything the leader wants on record
@@ -82,14 +82,14 @@
     void read_missing();                                              // what the leader asks to be read
     void lower_limits(std::size_t value_bytes, std::size_t txn_ops);  // as all controllers know the newest format
     bool place();                                                     // place, and put it on record
-    std::vector<std::string> returns() const;                         // the machines that the leader wants returned now
-    void pass(Seconds s) { now += model::to_clock(s); }
+    std::vector<std::string> machines_to_release() const;             // the machines that the leader wants returned now
+    void advance(Seconds s) { now += model::to_clock(s); }
     // Far enough that windows have closed and a new leader has heard its round of reports.
-    void settle() { pass(Seconds(10)); }
+    void settle() { advance(Seconds(10)); }
     std::string state_of(const std::string& uid) const;
     std::string machine_of(const std::string& uid, std::uint32_t task) const;
-    bool ordered(const std::vector<Command>& commands, CommandType type, const std::string& uid,
-                 std::uint32_t task) const;
+    bool has_command(const std::vector<Command>& commands, CommandType type, const std::string& uid,
+                     std::uint32_t task) const;
 };
 
 }  // namespace flintdale::test
--- a/tests/term_number_test.cpp
+++ b/tests/term_number_test.cpp
@@ -23,7 +23,7 @@
     ASSERT_EQ(won.size(), 1u);
     EXPECT_EQ(won[0].number, 5000u);
     EXPECT_FALSE(won[0].gap);
-    store.keys = Keys();
+    store.keys = InMemoryStore();
     clock = 9000;
     elector.restart_term("the state service lost data");
     settle();
