--- a/src/scheduler/defragmentation.cpp
+++ b/src/scheduler/defragmentation.cpp
@@ -5,14 +5,14 @@
 namespace flintdale::scheduler {
 
 namespace {
-constexpr Seconds calm{8};       // without a waiting job before services are moved together
-constexpr Seconds settled{20};   // that a service must have run before it is moved again
-constexpr int max_retiring = 3;  // machines emptied at a time
+constexpr Seconds no_waiting_time{8};           // time without a waiting job before services are moved
+constexpr Seconds min_runtime_before_move{20};  // minimum runtime of a service before it is moved
+constexpr int max_retiring = 3;                 // machines emptied at the same time
 }  // namespace
 
 void Defragmentation::run(placement::Planner& plan, TimePoint now) {
     note_waiting_jobs(now);
-    if (relocation_.any() || now < after(last_waiting_, calm)) return;
+    if (relocation_.any() || now < after(last_waiting_, no_waiting_time)) return;
     for (int k = 0; k < max_retiring; ++k) {
         auto* machine = costliest(plan, now);
         if (!machine) return;
@@ -36,7 +36,8 @@
         const auto* job = state_.jobs.find(uid);
         if (!job || !job->is(model::JobKind::service) || job->cancelled) return false;
         const auto& task = job->tasks[i];
-        if (!task.started || task.draining || now - task.running_since <= model::to_clock(settled)) return false;
+        if (!task.started || task.draining || now - task.running_since <= model::to_clock(min_runtime_before_move))
+            return false;
     }
     return true;
 }
--- a/src/scheduler/defragmentation.hpp
+++ b/src/scheduler/defragmentation.hpp
@@ -1,4 +1,4 @@
-// Moves the services off machines that only a few of them keep, so that those machines can be returned.
+// Moves services off machines that run only a few of them, so that the machines can be released.
 #pragma once
 #include <vector>
 
@@ -12,18 +12,19 @@
     Defragmentation(SchedulerState& state, JobDemand& demand, FleetView& fleet, Relocation& relocation)
         : state_(state), demand_(demand), fleet_(fleet), relocation_(relocation) {}
 
-    // Starts to empty a few machines, unless tasks are moving or waited lately.
+    // Starts to empty a few machines, unless tasks are being moved or a job waited recently.
     void run(placement::Planner& plan, TimePoint now);
 
   private:
     void note_waiting_jobs(TimePoint now);
-    // Whether every task of the machine is a service that may be moved now.
+    // Whether all tasks of the machine are services that may be moved now.
     bool movable(const Machine& machine, TimePoint now) const;
-    // The lowest price of a slot for any of the machine's tasks, on any type of machine.
+    // The lowest slot price over the machine's tasks and all machine types.
     double cheapest_slot(const Machine& machine) const;
-    // The machine whose services pay most for their slots and would all find a place, with their image, on others.
+    // The machine with the highest price per task whose services would all fit on other machines that hold their
+    // images, or null.
     Machine* costliest(placement::Planner& plan, TimePoint now);
-    // The slots where all tasks of a machine could go at once, their room taken from the plan; empty if one could not.
+    // The slots for all tasks of the machine, with their room reserved in the plan; empty if one task finds no room.
     std::vector<placement::Id> destinations(const Machine& machine, placement::Planner& plan) const;
 
     SchedulerState& state_;
--- a/src/scheduler/dependency_graph.cpp
+++ b/src/scheduler/dependency_graph.cpp
@@ -24,11 +24,11 @@
     unknown_.erase(uid);
     {
         auto& node = nodes_[uid];
-        // Its end may be known before its beginning.
+        // The outcome of a job may be read before its submission.
         if (node.status != Status::unknown) return changes;
         node.status = Status::open;
         node.own = priority;
-        // Jobs that need it may have come to be known before it.
+        // Dependents may have been added before the job and have raised its priority.
         node.priority = std::max(node.priority, priority);
         if (node.priority != priority) changes.priority_changed.push_back(uid);
         node.needs = needs;
@@ -74,7 +74,7 @@
     remember_closed(uid);
     for (const auto& name : needs)
         if (auto* need = find(name)) need->needed_by.erase(uid);
-    // A job that is over passes its priority on to no other any more.
+    // A job that is over no longer passes its priority on to its dependencies.
     lower_priorities(needs, changes);
     if (!done) {
         fail_dependents(needed_by, changes);
@@ -166,7 +166,7 @@
         node->dependency_failed = true;
         changes.dependency_failed.push_back(next.front());
         next.insert(next.end(), node->needed_by.begin(), node->needed_by.end());
-        // Nor does a job that will be cancelled.
+        // A job that will be cancelled no longer passes its priority on to its dependencies.
         lower_priorities(node->needs, changes);
     }
 }
--- a/src/scheduler/failure_tracker.cpp
+++ b/src/scheduler/failure_tracker.cpp
@@ -7,9 +7,11 @@
 namespace flintdale::scheduler {
 
 namespace {
-constexpr unsigned quarantine_jobs = 2;                            // that failed on a machine and not everywhere
-constexpr std::chrono::seconds first_pause{5}, longest_pause{60};  // between tries of a job that fails everywhere
-constexpr unsigned max_doublings = 8;                              // of the pause
+constexpr unsigned quarantine_jobs =
+    2;  // jobs that must fail on a machine, but not everywhere, before it is quarantined
+constexpr std::chrono::seconds first_pause{5},
+    longest_pause{60};                 // limits of the pause between tries of a crash-looping job
+constexpr unsigned max_doublings = 8;  // of the pause between tries
 }  // namespace
 
 void FailureTracker::record_failure(Job& job, Machine& machine, TimePoint now) {
@@ -18,7 +20,7 @@
     machine.failed_jobs.insert(job.spec.uid);
     if (job.crash_looping()) {
         clear_machines(job);
-        // Tasks that ran at the same time fail together, and count once.
+        // Tasks of one try fail together, and count as one failure.
         if (now >= job.eligible_at) back_off(job, now);
     } else if (machine.failed_jobs.size() >= quarantine_jobs) {
         if (!machine.quarantined)
@@ -27,7 +29,7 @@
     }
 }
 
-// A job that fails wherever it goes is no evidence against machines: its earlier failures no longer count against them.
+// A crash-looping job is itself at fault, so its earlier failures no longer count against machines.
 void FailureTracker::clear_machines(const Job& job) {
     for (const auto& name : job.failed_on) {
         auto* machine = state_.inventory.find(name);
--- a/src/scheduler/failure_tracker.hpp
+++ b/src/scheduler/failure_tracker.hpp
@@ -1,4 +1,4 @@
-// Tasks that exit with an error: tells machines at fault from jobs that fail everywhere.
+// Counts tasks that exit with an error, and distinguishes faulty machines from jobs that fail on every machine.
 #pragma once
 #include "scheduler/scheduler_state.hpp"
 
@@ -8,8 +8,8 @@
   public:
     explicit FailureTracker(SchedulerState& state) : state_(state) {}
 
-    // A task of the job failed on the machine. A machine on which several jobs failed that succeed elsewhere is
-    // quarantined; a job that fails on different machines is tried again after growing pauses.
+    // Records that a task of the job failed on the machine. A machine is quarantined if several jobs failed on it that
+    // do not fail everywhere. A job that fails on several machines is retried after increasing pauses.
     void record_failure(Job& job, Machine& machine, TimePoint now);
 
   private:
--- a/src/scheduler/fleet_view.cpp
+++ b/src/scheduler/fleet_view.cpp
@@ -8,14 +8,16 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr double unusable_intervals = 2.2;  // heartbeat intervals of silence after which a machine gets no new work
-constexpr double overdue_intervals = 1.25;  // a heartbeat may come a quarter late
-constexpr Seconds packet_loss{1};           // and a packet may be lost on the way
-constexpr auto first_round_slack = 500ms;   // added to the first round of heartbeats of a term
-constexpr double nearly_all = 0.95;         // of the machines with work, whose heartbeat a new leader waits for
-constexpr std::size_t few_in_zone = 8;      // machines of a zone that may all be silent by chance
-constexpr double quiet_zone_window = 0.5;   // of a heartbeat interval
-
-// Whether the machine should report: it has, or it has tasks, and nothing says that it is gone.
+constexpr double overdue_intervals = 1.25;  // heartbeats may be a quarter of an interval late
+constexpr Seconds packet_loss{1};           // allowance for one lost packet
+constexpr auto first_round_slack = 500ms;   // allowance beyond the first round of heartbeats of a term
+constexpr double required_report_share =
+    0.95;  // share of the machines with work whose heartbeat a new leader waits for
+constexpr std::size_t min_quiet_zone_machines = 8;  // smaller zones may be silent by chance
+constexpr double quiet_zone_window =
+    0.5;  // heartbeat intervals within which a share of the machines must have reported
+
+// Whether the machine should report: it has reported before or has tasks, and is not known to be gone.
 bool expected_to_report(const Machine& machine) {
     if (machine.releasing || machine.unlisted || machine.listed_failed) return false;
     return machine.reported || !machine.tasks.empty();
@@ -48,8 +50,8 @@
     return out;
 }
 
-// A zone that is cut off falls silent as a whole, and that shows before the first of its machines has been silent for
-// long: in half a heartbeat interval half of them should report. Single machines, or many that died, change that share
+// A zone that is cut off falls silent as a whole. In half a heartbeat interval half of its machines should report, so
+// the silence shows before any single machine is overdue for long. Single failures, or even many, change that share
 // little.
 std::vector<bool> FleetView::quiet_zones(TimePoint now) const {
     struct Count {
@@ -68,8 +70,8 @@
     std::vector<bool> out(zones.size());
     for (std::size_t zone = 0; zone < zones.size(); ++zone) {
         const auto& count = zones[zone];
-        out[zone] =
-            zone != placement::unknown_zone && count.expected >= few_in_zone && count.reported * 8 < count.expected;
+        out[zone] = zone != placement::unknown_zone && count.expected >= min_quiet_zone_machines &&
+                    count.reported * 8 < count.expected;
     }
     return out;
 }
@@ -81,25 +83,25 @@
     return placement::Planner(std::move(hosts), state_.rules.memory_margin);
 }
 
-// Until it has received one round of heartbeats, a new leader does not know the load. If no work was on record when it
-// began, there is no load to wait for.
+// A new leader knows the load only after one round of heartbeats. If no tasks were on record when its term began, there
+// is no load to wait for.
 bool FleetView::first_round_complete(TimePoint now) const {
     if (state_.awaiting_reconciliation && !all_listed()) return false;
     const auto round = state_.settings.heartbeat_interval * overdue_intervals + first_round_slack;
     if (!state_.inherited_tasks || now >= after(state_.term_began, round)) return true;
-    // Workers report to a higher term at once. Some are gone for good, and the rest need not wait for those.
+    // Workers report to a leader of a higher term at once. Planning does not wait for the few machines that are gone.
     double working = 0, reported = 0;
     for (const auto& [name, machine] : state_.inventory.all()) {
         working += !machine->tasks.empty();
         reported += !machine->tasks.empty() && machine->reported;
     }
-    return reported >= working * nearly_all;
+    return reported >= working * required_report_share;
 }
 
 void FleetView::machines_listed(const std::vector<model::ListedMachine>& machines, TimePoint now) {
     listed_at_ = now;
     for (const auto& listed : machines) {
-        // The list lags: what it still shows may be gone already, and then it must not come back.
+        // The list lags and may still show released machines, which must not be added again.
         if (state_.inventory.gone(listed.name)) continue;
         const bool is_new = !state_.inventory.find(listed.name);
         auto& machine = state_.inventory.add(listed.name, listed.type, listed.zone, listed.spot, now);
@@ -107,7 +109,7 @@
         machine.listed_failed = listed.status == model::MachineStatus::failed;
         if (listed.status == model::MachineStatus::booting) machine.starting_at = now;
     }
-    // A list may be twice as old as usual, and does not show machines that are younger than that.
+    // A list may be twice as old as its nominal lag, and lacks machines that are younger than that.
     std::set<std::string_view> names;
     for (const auto& listed : machines) names.insert(listed.name);
     const auto shown_after = model::to_clock(state_.settings.machine_list_lag * 3 + Seconds(2));
@@ -115,17 +117,17 @@
         machine->unlisted = !names.contains(name) && now - machine->known_since > shown_after;
 }
 
-// With the last placements lost, any waiting task may run on any machine that has not reported. A list names all
-// machines that are older than it lags; younger ones are named by a later one. A list may be twice as old as usual: one
-// that came so long after this term began shows every machine that existed then.
+// If the last placements are lost, any waiting task may run on any machine that has not reported. A list contains all
+// machines that are older than its lag, which may be twice the nominal one. A list that arrives this long after the
+// beginning of the term therefore contains every machine that existed then.
 model::Clock::duration FleetView::list_age() const {
     return model::to_clock(state_.settings.machine_list_lag * 2 + Seconds(2));
 }
 
 bool FleetView::all_listed() const { return listed_at_ - state_.term_began >= list_age(); }
 
-// All that may run on the machine is known if it has shown its tasks under this term, or if it was still starting after
-// this term had begun, so that no earlier leader's command can have reached it.
+// The tasks of a machine are known if it has reported under this term. They are also known if it was still booting
+// after the term began: no command of an earlier leader can have reached it.
 bool FleetView::reconciled(const Machine& machine) const {
     return (machine.current && !with_unknown_tasks_.contains(machine.name)) ||
            machine.starting_at - list_age() >= state_.term_began;
--- a/src/scheduler/gang_barrier.cpp
+++ b/src/scheduler/gang_barrier.cpp
@@ -4,16 +4,16 @@
 
 namespace flintdale::scheduler {
 
-void GangBarrier::wait(Job& job, std::uint32_t task, TimePoint now) {
+void GangBarrier::hold_member(Job& job, std::uint32_t task, TimePoint now) {
     job.tasks[task].at_barrier = true;
     if (++job.members_at_barrier == 1) job.barrier_since = now;
     waiting_.insert(job.spec.uid);
     restart_if_ready(job, now);
 }
 
-// Where fetching takes longer on some machines than a member waits for the others, an attempt that is given up as a
-// whole loses what the slow machines have fetched so far, and the next attempt fails in the same way. So a member that
-// gave up keeps its place, and when the last one has its image all start under the next attempt where they are.
+// On some machines fetching the image takes longer than a member waits for its gang. Ending the whole attempt would
+// discard what the slow machines have fetched, and the next attempt would fail in the same way. So a member that gave
+// up keeps its room. When the last member has its image, all start under the next attempt on the same machines.
 void GangBarrier::restart_if_ready(Job& job, TimePoint now) {
     if (job.members_at_barrier == 0 || job.placed < job.spec.tasks || job.gang_started || job.gang_failing ||
         job.cancelled)
@@ -34,13 +34,13 @@
     }
 }
 
-// A member that was lost may find no room for as long as others keep theirs for it: tasks that would fit waited beside
-// such a place for over 90 s.
+// A lost member may find no machine while the rest of the gang keeps its room. Without a timeout such room stayed
+// unused for over 90 s beside waiting tasks that would have fit.
 void GangBarrier::release_expired(TimePoint now) {
     std::erase_if(waiting_, [&](const std::string& uid) {
         auto* job = state_.jobs.find(uid);
         if (!job || job->members_at_barrier == 0) return true;
-        // All have a place, and only images are missing: the timeout does not run.
+        // All members have a machine and only images are missing, so the timeout does not run.
         if (job->placed + job->done == job->spec.tasks) job->barrier_since = now;
         if (now - job->barrier_since <= model::to_clock(state_.settings.gang_barrier_timeout)) return false;
         spdlog::info("event=gang_reservation_released job={} parked={} placed={}", uid, job->members_at_barrier,
--- a/src/scheduler/gang_barrier.hpp
+++ b/src/scheduler/gang_barrier.hpp
@@ -1,5 +1,5 @@
-// The members of gangs that wait for the others: a worker gives up a member whose gang does not start in time; its
-// room and image are kept here until all can start together, or for the barrier's timeout.
+// Gang members that wait at the barrier. A worker gives up a member whose gang does not start in time. Its room and
+// image are kept until the whole gang can start, or until the barrier's timeout.
 #pragma once
 #include <set>
 #include <string>
@@ -12,11 +12,11 @@
   public:
     GangBarrier(SchedulerState& state, TaskTransitions& tasks) : state_(state), tasks_(tasks) {}
 
-    // The worker gave this member up; its place is kept.
-    void wait(Job& job, std::uint32_t task, TimePoint now);
-    // Starts the gang under its next attempt where its members are, once the last of them has its image.
+    // The worker gave up the member; its room stays reserved.
+    void hold_member(Job& job, std::uint32_t task, TimePoint now);
+    // Starts the gang on its current machines under the next attempt, once all members have their image.
     void restart_if_ready(Job& job, TimePoint now);
-    // Gives up the places of members whose fellows have found none within the barrier's timeout.
+    // Releases the room of waiting members if other members found no machine within the barrier's timeout.
     void release_expired(TimePoint now);
 
   private:
--- a/src/scheduler/handover_hints.cpp
+++ b/src/scheduler/handover_hints.cpp
@@ -7,15 +7,15 @@
 
 namespace flintdale::scheduler {
 
-std::vector<state::Change> HandoverHints::pages(std::span<const wire::MachineHint> notes) {
+std::vector<state::Change> HandoverHints::pages(std::span<const wire::MachineHint> hints) {
     std::vector<state::Change> out;
     std::set<std::string> needed;
-    for (std::size_t at = 0, n = 0; at < notes.size(); ++n) {
-        auto count = std::min(per_page_, notes.size() - at);
-        boost::json::value value = boost::json::string(wire::encode_machine_hints(notes.subspan(at, count)));
+    for (std::size_t at = 0, n = 0; at < hints.size(); ++n) {
+        auto count = std::min(per_page_, hints.size() - at);
+        boost::json::value value = boost::json::string(wire::encode_machine_hints(hints.subspan(at, count)));
         while (count > 1 && !record_format_.fits(value)) {
             count = per_page_ = (count + 1) / 2;
-            value = boost::json::string(wire::encode_machine_hints(notes.subspan(at, count)));
+            value = boost::json::string(wire::encode_machine_hints(hints.subspan(at, count)));
         }
         at += count;
         const auto key = hints_prefix + std::to_string(n);
@@ -39,8 +39,8 @@
     for (const auto& item : items) {
         on_record_[item.key].clear();
         try {
-            auto notes = wire::decode_machine_hints(std::string_view(item.value.as_string()));
-            std::move(notes.begin(), notes.end(), std::back_inserter(out));
+            auto hints = wire::decode_machine_hints(std::string_view(item.value.as_string()));
+            std::move(hints.begin(), hints.end(), std::back_inserter(out));
         } catch (const std::exception& e) {
             spdlog::info("event=machine_hints_unreadable key={} why=\"{}\"", item.key, e.what());
         }
--- a/src/scheduler/heartbeat_reconciler.cpp
+++ b/src/scheduler/heartbeat_reconciler.cpp
@@ -17,11 +17,11 @@
 using State = Task::State;
 
 namespace {
-constexpr auto rejection_pause = 2s;  // after a worker refused a task
-// The share of a machine's remaining time that a task may be expected to need if it is left to finish there.
-constexpr double safe_share = 0.8;
+constexpr auto rejection_pause = 2s;  // delay before the next placement of a job after a worker refused its task
+// A task is left to finish if its expected runtime fits into this share of the time until the machine is terminated.
+constexpr double max_remaining_share = 0.8;
 
-bool gang_fails(const Job& job) { return job.is(JobKind::gang) && job.gang_failing; }
+bool is_failing_gang(const Job& job) { return job.is(JobKind::gang) && job.gang_failing; }
 }  // namespace
 
 std::optional<std::vector<Command>> HeartbeatReconciler::handle(const model::Heartbeat& heartbeat, TimePoint now) {
@@ -39,10 +39,10 @@
         unknown_tasks = reconcile(machine, report, commands, now) || unknown_tasks;
     if (state_.awaiting_reconciliation) fleet_.set_unknown_tasks(machine, unknown_tasks);
     if (machine.terminates_at) drain_before_termination(machine, now);
-    // Only a worker that has seen this term can no longer be reached by run commands of an older one, and only then is
-    // a task that it does not show really not there.
+    // Once a worker has seen this term, run commands of older terms can no longer reach it. Only then does a task that
+    // is missing from its heartbeat certainly not run there.
     if (machine.current)
-        for (const auto& [uid, i] : not_shown(machine))
+        for (const auto& [uid, i] : unreported_tasks(machine))
             if (auto* job = state_.jobs.find(uid)) missing(*job, i, machine, commands, now);
     return commands;
 }
@@ -54,9 +54,9 @@
     if (machine.reported && heartbeat.incarnation > machine.incarnation) {
         spdlog::info("event=worker_lease_expired machine={} tasks={} sure={}", machine.name, machine.tasks.size(),
                      machine.current);
-        // What was placed before this term may have been started in this very incarnation, if the heartbeat before was
-        // a copy from an earlier one: it is gone only if the worker had seen this term in that incarnation, when no
-        // older leader's run command could reach it any more. What this leader sent was sent after that.
+        // A new incarnation proves that tasks are gone only if the worker had seen this term in the previous one.
+        // Otherwise the previous heartbeat may be a late copy from an even earlier incarnation, and a task placed
+        // before this term may have been started in the new one. Tasks that no run command was sent for are kept.
         if (machine.current) tasks_.lose_all(machine, true, now);
     }
     if (!machine.reported) machine.idle_since = now;
@@ -80,7 +80,7 @@
     const auto i = report.id.index;
     const bool ended = report.status == TaskStatus::exited;
     if (!job || i >= job->spec.tasks) {
-        // Records go only when a job is over, so nothing of it is wanted any more.
+        // Records of open jobs are not removed, so the job is over and its tasks are not needed any more.
         clear_or_kill(report, true, commands);
         return !ended;
     }
@@ -88,7 +88,7 @@
     const bool orphaned = report.attempt > task.attempt && !adopt(*job, machine, report, now) && !ended;
     const bool placed_here = task.state == State::placed && task.machine == &machine && task.attempt == report.attempt;
     if (placed_here) {
-        task.shown_in = heartbeats_;
+        task.last_heartbeat_number = heartbeats_;
         if (!ended)
             confirmed(*job, machine, report, commands, now);
         else if (!task.at_barrier)
@@ -97,7 +97,7 @@
     }
     if (ended && report.exit_reason == ExitReason::done && task.state == State::waiting && !job->cancelled)
         tasks_.complete(*job, i, now);
-    // The worker may forget how a task ended only once the record says so.
+    // The worker may forget the exit of a task only once the record of the task's state is written.
     clear_or_kill(report, job->durable(i), commands);
     return orphaned;
 }
@@ -122,7 +122,7 @@
         gangs_.restart_if_ready(job, now);
     }
     Command kill{CommandType::kill, report.id, report.attempt, Seconds(0)};
-    if (job.cancelled || gang_fails(job)) {
+    if (job.cancelled || is_failing_gang(job)) {
         commands.push_back(kill);
     } else if (task.draining && report.status != TaskStatus::checkpointing) {
         kill.grace_period = job.spec.checkpoint_duration + 1s;
@@ -154,11 +154,12 @@
                report.exit_reason == ExitReason::conflicting_attempt) {
         job.eligible_at = std::max(job.eligible_at, now + rejection_pause);
     } else if (report.exit_reason == ExitReason::gang_incomplete) {
-        // It waited for the others, so it had its image; a leader that has just begun has not seen it wait.
+        // The member had its image, because it waited for the rest of its gang. A new leader has not seen that in an
+        // earlier heartbeat.
         state_.inventory.has_image(machine, {job.spec.uid, i}, job.spec);
         if (!job.gang_started && !job.gang_failing && !job.cancelled && !machine.terminates_at &&
             !job.tasks[i].draining) {
-            gangs_.wait(job, i, now);
+            gangs_.hold_member(job, i, now);
             return;
         }
     }
@@ -173,7 +174,7 @@
         tasks_.complete(job, task, now);
         return;
     }
-    // A gang completes as one: the first member that reports it speaks for all.
+    // A gang completes as a whole: the first member that reports its completion completes all members.
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) tasks_.complete(job, i, now);
 }
 
@@ -181,20 +182,20 @@
     const auto& t = job.tasks[task];
     if (t.reported) {
         tasks_.lose(job, task, now);
-    } else if (job.cancelled || t.draining || job.finished || gang_fails(job) ||
+    } else if (job.cancelled || t.draining || job.finished || is_failing_gang(job) ||
                state_.quota.over_limit(job.spec.team)) {
-        // Either no run command was sent, or this heartbeat is newer than the answer that carried it. A task that was
-        // given up before it ran is on record for some seconds after others have taken its part of the quota: the
-        // leader that reads so must not start it again.
+        // Either no run command was sent, or this heartbeat is newer than the answer that carried it. The record of an
+        // abandoned placement is written some seconds after other tasks have taken its share of the quota. A leader
+        // that reads the old record must not start the task again.
         tasks_.leave(job, task, State::waiting, now);
     } else {
         runs_.add(job, task, machine, commands);
     }
 }
 
-// An attempt above the one on record: no run command leaves before its placement is on record, so the record was lost.
-// While the records are known to lack something, a task is where a worker shows it under this term; a later attempt
-// cannot exist, for it would have needed the evidence that this one is gone.
+// Handles an attempt above the recorded one. A run command is sent only after its placement is recorded, so the record
+// was lost. During reconciliation the task is adopted on the machine that reports it under this term. No later attempt
+// can exist, because placing one would have required evidence that this attempt is gone.
 bool HeartbeatReconciler::adopt(Job& job, Machine& machine, const model::TaskReport& report, TimePoint now) {
     if (!state_.awaiting_reconciliation) {
         loss_evidence_ = loss_evidence_ || !job.cancelled;
@@ -204,7 +205,7 @@
     auto& task = job.tasks[i];
     if (!machine.current || task.state == State::done || job.finished) return false;
     if (report.status == TaskStatus::exited && report.exit_reason != ExitReason::done) {
-        // It is over, but no attempt may have that number again.
+        // The attempt has exited, but its number must not be used again.
         task.attempt = std::max(task.attempt, report.attempt);
         job.gang_attempt = std::max(job.gang_attempt, report.attempt);
         tasks_.record_change(job, i, RecordUrgency::immediate, now);
@@ -222,8 +223,8 @@
     return true;
 }
 
-// Tasks that cannot end before the machine is taken are stopped, so that they save what they can and start elsewhere;
-// the others may as well finish.
+// Stops the tasks that cannot finish before the machine is terminated, so that they save their progress and restart
+// elsewhere. The remaining tasks are left to finish.
 void HeartbeatReconciler::drain_before_termination(const Machine& machine, TimePoint now) {
     for (const auto& [uid, i] : machine.tasks) {
         auto* job = state_.jobs.find(uid);
@@ -232,16 +233,16 @@
         const Seconds left = *machine.terminates_at - now;
         const Seconds ran = task.started ? Seconds(now - task.running_since) : Seconds(0);
         const bool ends =
-            job->is(JobKind::array) && task.started && job->spec.estimated_runtime - ran < left * safe_share;
+            job->is(JobKind::array) && task.started && job->spec.estimated_runtime - ran < left * max_remaining_share;
         if (!ends) task.draining = true;
     }
 }
 
-std::vector<TaskKey> HeartbeatReconciler::not_shown(const Machine& machine) const {
+std::vector<TaskKey> HeartbeatReconciler::unreported_tasks(const Machine& machine) const {
     std::vector<TaskKey> out;
     for (const auto& key : machine.tasks) {
         const auto* job = state_.jobs.find(key.first);
-        if (job && job->tasks[key.second].shown_in != heartbeats_) out.push_back(key);
+        if (job && job->tasks[key.second].last_heartbeat_number != heartbeats_) out.push_back(key);
     }
     return out;
 }
--- a/src/scheduler/heartbeat_reconciler.hpp
+++ b/src/scheduler/heartbeat_reconciler.hpp
@@ -1,5 +1,6 @@
-// Compares each heartbeat with the placements: tasks are confirmed, missing, ended, adopted (shown by a worker, but
-// lost from the records) or orphaned (of no open job), and the commands that follow answer it.
+// Compares each heartbeat with the known placements and returns the commands for its answer. A reported task is
+// confirmed, ended, adopted (missing from the records after a loss) or orphaned (of no open job); a placed task that is
+// not reported is missing.
 #pragma once
 #include <optional>
 #include <utility>
@@ -18,16 +19,17 @@
                         FailureTracker& failures, RunCommands& runs)
         : state_(state), tasks_(tasks), fleet_(fleet), gangs_(gangs), failures_(failures), runs_(runs) {}
 
-    // The commands that answer the heartbeat; nothing if it is older than what is known or must not be answered.
+    // The commands for the answer to the heartbeat; nothing if the heartbeat is not newer than the last one, or its
+    // machine was released.
     std::optional<std::vector<model::Command>> handle(const model::Heartbeat& heartbeat, TimePoint now);
-    // Whether a worker has shown, since the last call, a task that cannot exist unless records were lost.
+    // Whether a worker has reported, since the last call, a task attempt that can exist only if records were lost.
     bool take_loss_evidence() { return std::exchange(loss_evidence_, false); }
 
   private:
     using Commands = std::vector<model::Command>;
 
     void update_machine(Machine& machine, const model::Heartbeat& heartbeat, TimePoint now);
-    // Returns whether the task is orphaned and not known to have ended.
+    // Returns whether the task is orphaned and has not exited.
     bool reconcile(Machine& machine, const model::TaskReport& report, Commands& commands, TimePoint now);
     void clear_or_kill(const model::TaskReport& report, bool may_clear, Commands& commands);
     void confirmed(Job& job, Machine& machine, const model::TaskReport& report, Commands& commands, TimePoint now);
@@ -37,8 +39,8 @@
     void missing(Job& job, std::uint32_t task, Machine& machine, Commands& commands, TimePoint now);
     bool adopt(Job& job, Machine& machine, const model::TaskReport& report, TimePoint now);
     void drain_before_termination(const Machine& machine, TimePoint now);
-    // Tasks placed on the machine that the heartbeat being handled does not show.
-    std::vector<TaskKey> not_shown(const Machine& machine) const;
+    // The tasks placed on the machine that the current heartbeat does not report.
+    std::vector<TaskKey> unreported_tasks(const Machine& machine) const;
 
     SchedulerState& state_;
     TaskTransitions& tasks_;
--- a/src/scheduler/job.cpp
+++ b/src/scheduler/job.cpp
@@ -27,7 +27,8 @@
 
 namespace {
 
-constexpr std::size_t types_of_old = 40;  // that a submission may name in the oldest format
+constexpr std::size_t oldest_format_max_types =
+    40;  // machine types that a submission may name in the oldest record format
 
 bool parse_number(std::string_view text, std::uint32_t& into) {
     const auto* end = text.data() + text.size();
@@ -68,7 +69,7 @@
     tasks_per_record = tasks_each;
     chunks.assign((spec.tasks + tasks_per_record - 1) / tasks_per_record, Chunk{});
     for (std::uint32_t i = 0; i < spec.tasks; ++i) {
-        // What the larger record holds need not be written again.
+        // Changes that the old record holds need not be written again.
         auto& chunk = chunks[chunk_of(i)];
         chunk.durable = old[i / old_tasks_per_record].durable;
         chunk.changed = std::max({chunk.changed, chunk.durable, tasks[i].generation});
@@ -79,7 +80,7 @@
                                    const boost::json::object* spec, const model::JobSize& size) {
     boost::json::object o{{"state", wire::job_state_name(state)}};
     if (spec) o["spec"] = *spec;
-    // The oldest format holds the whole submission, and nothing else is read there.
+    // The oldest format has only the state and the complete submission.
     if (!record_format.newest()) return o;
     if (at) o["at"] = at;
     wire::size_to_record(size, o);
@@ -92,8 +93,8 @@
 }
 
 bool readable_by_all(const JobSpec& spec, const state::RecordFormat& record_format) {
-    // A third of a value is left for the submission beside the ranges of its first tasks.
-    return spec.dependencies.empty() && (!spec.types || spec.types->size() <= types_of_old) &&
+    // The submission may take a third of the value; the rest is left for the state of its first tasks.
+    return spec.dependencies.empty() && (!spec.types || spec.types->size() <= oldest_format_max_types) &&
            state::RecordFormat::size_of(wire::spec_to_record(spec)) <= record_format.limits().value_bytes / 3;
 }
 
@@ -110,7 +111,7 @@
         auto length = std::min(record_format.room(), text.size() - at);
         boost::json::object fragment;
         for (;;) {
-            // Not in the middle of a character.
+            // Cuts between UTF-8 characters only.
             while (at + length < text.size() && (static_cast<unsigned char>(text[at + length]) & 0xC0) == 0x80)
                 --length;
             fragment["text"] = text.substr(at, length);
--- a/src/scheduler/job.hpp
+++ b/src/scheduler/job.hpp
@@ -1,4 +1,5 @@
-// An open job and its tasks as the leader keeps them in memory, and their records in the key-value store.
+// An open job and its tasks as the leader keeps them in memory, and the formats of their records in the key-value
+// store.
 #pragma once
 #include <deque>
 
@@ -17,34 +18,36 @@
 using model::Seconds;
 using model::TimePoint;
 
-// Tasks per record. Where the limit on values does not allow that many, a job changes to smaller records, half the size
-// each time: a record of fewer tasks supersedes one of more for all of its tasks, so that what was written in the
-// larger size need not be written again, and each write by itself leaves what the next leader can read.
+// Tasks per record. If a record exceeds the limit on values, the job changes to smaller records, halving the size each
+// time. A record with fewer tasks supersedes a larger one for its own tasks. So the larger records need not be
+// rewritten, and the records are readable by the next leader after each single write.
 inline constexpr std::uint32_t chunk_tasks = 256;
 
-// A task as the leader knows it.
+// The leader's knowledge of a task.
 struct Task {
     enum class State : std::uint8_t { waiting, placed, done };
     State state = State::waiting;
-    bool run_sent = false;         // a run command may have left, from this leader or an earlier one
-    bool reported = false;         // by its machine, in this attempt
-    bool started = false;          // reported as running
-    bool at_barrier = false;       // gang member whose worker gave up waiting for the others; its place is kept
-    bool draining = false;         // to be stopped: preempted, moved, or its machine goes
-    std::uint32_t generation = 0;  // of the change that the record must hold before the worker may forget the task
+    bool run_sent = false;  // a run command may have been sent, by this leader or an earlier one
+    bool reported = false;  // its machine has reported this attempt
+    bool started = false;   // reported as running
+    bool at_barrier =
+        false;  // gang member whose worker gave up waiting for the rest of the gang; its room stays reserved
+    bool draining = false;         // must be stopped: preempted, moved, or its machine is terminated
+    std::uint32_t generation = 0;  // last change; the worker may forget the task once this generation is on record
     std::uint64_t attempt = 0;
-    std::uint64_t shown_in = 0;  // the last heartbeat that showed it, by this leader's count
+    std::uint64_t last_heartbeat_number =
+        0;  // the number of the last heartbeat that reported it (HeartbeatReconciler counts them)
     Machine* machine = nullptr;
     TimePoint running_since{}, placed_at{};
 };
 
-// One record of the tasks of a job.
+// One record of some of a job's tasks.
 struct Chunk {
-    std::uint64_t mod_revision = 0;          // of the key; 0: absent
-    std::uint32_t changed = 0, durable = 0;  // generations of the last change, and of the last one on record
+    std::uint64_t mod_revision = 0;          // of the key; 0: the key is absent
+    std::uint32_t changed = 0, durable = 0;  // generations of the last change and of the last recorded change
 };
 
-// A key on record that is not written again, to be removed with the job.
+// A stored key that is no longer written, and is removed together with the job.
 struct OldRecord {
     std::string key;
     std::uint64_t mod_revision = 0;
@@ -53,87 +56,87 @@
 // An open job.
 struct Job {
     JobSpec spec;
-    mutable placement::Ask ask;                          // its requirements in numbers, made when first needed
-    model::Priority priority = model::Priority::normal;  // its own, or that of a job which needs it
-    bool waits_for_dependencies = false;                 // not all jobs that it needs are known to be done
-    bool dependency_failed = false;                      // a job that it needs was cancelled: so must it be
+    mutable placement::Ask ask;                          // the placement requirements, computed on first use
+    model::Priority priority = model::Priority::normal;  // its own, or inherited from a dependent job
+    bool waits_for_dependencies = false;                 // some of its dependencies are not known to be done
+    bool dependency_failed = false;                      // a dependency was cancelled, so this job must be cancelled
     bool cancelled = false;
-    bool finished = false;  // the outcome is durable
+    bool finished = false;  // its outcome is recorded
     std::uint32_t tasks_per_record = chunk_tasks;
     std::vector<Task> tasks;
     std::vector<Chunk> chunks;
-    std::vector<OldRecord> superseded;  // records that are to be removed with the job
+    std::vector<OldRecord> superseded;  // old records, removed together with the job
     std::uint32_t generation = 0, done = 0, placed = 0, running = 0;
 
     std::deque<std::uint32_t> requeued;  // waiting tasks that were placed before
-    std::uint32_t first_unplaced = 0;    // tasks from here on were never placed
+    std::uint32_t first_unplaced = 0;    // this task and all after it were never placed
     std::int64_t window = 0;
-    bool passed_over = false;  // when its turn came, not all of it found room
-    TimePoint arrived{}, eligible_at{}, cancelled_at{}, preempt_again{}, room_made_by{};
+    bool passed_over = false;  // some of its tasks found no room in the last placement pass
+    TimePoint arrived{}, eligible_at{}, cancelled_at{}, next_preemption_at{}, room_expected_at{};
 
     // Gangs only.
     std::uint64_t gang_attempt = 0;
     bool gang_started = false, gang_failing = false;
     std::uint32_t members_at_barrier = 0;
-    TimePoint barrier_since{};  // since when members wait while others have no place
+    TimePoint barrier_since{};  // since when members wait at the barrier while some have no machine
 
-    std::set<std::string> failed_on;     // machines
-    unsigned errors = 0, back_offs = 0;  // tasks that failed; pauses that followed
+    std::set<std::string> failed_on;     // names of machines
+    unsigned errors = 0, back_offs = 0;  // failed tasks, and pauses after failures
 
     bool is(model::JobKind s) const { return spec.kind == s; }
-    // Whether any of its tasks ever succeeded: a replica that runs, a task that is done.
+    // Whether any of its tasks has ever succeeded: a replica runs, or a task is done.
     bool has_succeeded() const { return done > 0 || (is(model::JobKind::service) && running > 0); }
-    // It failed on different machines and never succeeded: the job, rather than the machines, is at fault. It is tried
-    // with one task (a gang: as seldom) until one succeeds; no machine is requested, no room reserved and no other task
-    // stopped for it.
+    // The job failed on several machines and never succeeded, so the job is at fault, not the machines. Until a task
+    // succeeds, one task at a time is tried (gangs pause equally long between tries). No machine is requested, no room
+    // reserved and no other task preempted for such a job.
     bool crash_looping() const { return !has_succeeded() && failed_on.size() >= 2; }
     // Tasks that are neither placed nor done.
     std::uint32_t waiting() const { return spec.tasks - done - placed; }
     bool runnable() const { return !cancelled && !finished && !waits_for_dependencies && !dependency_failed; }
     std::uint32_t chunk_of(std::uint32_t task) const { return task / tasks_per_record; }
-    // From now on its records have so many tasks, not more than before; the old records are superseded.
+    // Changes to records of `tasks` tasks, at most as many as before. The old records are superseded.
     void split_records(std::uint32_t tasks);
-    // Whether the last change of the task is on record.
+    // Whether the last change of the task is recorded.
     bool durable(std::uint32_t task) const { return chunks[chunk_of(task)].durable >= tasks[task].generation; }
 };
 
-// An open job is in its records of work, and nowhere else, so that one write accepts it. Its outcome is a key of its
-// own: absent while the job is open, and permanent once it is over, whether or not the records of work have been
-// removed.
+// An open job is stored only in its work records, so one write accepts it. Its outcome has a key of its own, which is
+// absent while the job is open. Once written it is permanent, whether or not the work records have been removed.
 inline constexpr const char* jobs_prefix = "jobs/";
 inline constexpr const char* work_prefix = "jobs/work/";
 inline constexpr const char* over_prefix = "jobs/over/";
 
-// The key of a job's outcome, of one of its records of tasks, and of one fragment of its submission.
+// The keys of a job's outcome, of one of its work records, and of one fragment of its submission.
 std::string outcome_key(const std::string& uid);
 std::string work_key(const std::string& uid, std::uint32_t chunk, std::uint32_t tasks_per_record = chunk_tasks);
 std::string fragment_key(const std::string& uid, std::size_t fragment);
-// Whether the item is the outcome of a job that was cancelled.
+// Whether the item is the outcome of a cancelled job.
 bool is_cancelled(const state::KeyValue& item);
-// What a key of open work names: some of a job's tasks, or a fragment of a submission that is too long for one value.
+// The parts of a work key. It names a record of some of a job's tasks, or a fragment of a submission that is too long
+// for one value.
 struct WorkKey {
     std::string uid;
     std::uint32_t chunk = 0, tasks_per_record = chunk_tasks;
-    std::uint32_t fragment = 0;  // 0: none
+    std::uint32_t fragment = 0;  // 0: not a fragment
     bool first() const { return chunk == 0 && tasks_per_record == chunk_tasks && fragment == 0; }
 };
-// Nothing if it is not a key of open work.
+// Returns nothing if the key is not a work key.
 std::optional<WorkKey> parse_work_key(const std::string& key);
 
-// The record of an outcome. `spec`: the submission's record, or null if it is not at hand; it is left out where the
-// value would be too long. `at`: the time of day in milliseconds, or 0.
+// The value of an outcome key. `spec`: the submission's record, or null if unknown; left out where the value would be
+// too long. `at`: the time of day in milliseconds, or 0 if unknown.
 boost::json::object outcome_record(const state::RecordFormat& record_format, model::JobState state, std::int64_t at,
                                    const boost::json::object* spec, const model::JobSize& size);
-// The record of that chunk of tasks.
+// The value of the work record of that chunk of tasks.
 boost::json::object work_record(const Job& job, std::uint32_t chunk);
-// The first record of a job that was just accepted.
+// The value of the first work record of a newly accepted job.
 boost::json::object first_work_record(const JobSpec& spec);
-// All records of a job that was just accepted, the first of them first; empty if they exceed the limits of the store.
+// All work records of a newly accepted job, in order; empty if they exceed the limits of the store.
 std::vector<state::Change> accepted_records(const JobSpec& spec, const state::RecordFormat& record_format);
-// Whether controllers that read only older record formats could read the job.
+// Whether controllers that read only older record formats can read the job.
 bool readable_by_all(const JobSpec& spec, const state::RecordFormat& record_format);
 
-// A submission from its first record and, where it was fragmented, its fragments by number; nothing while some are
+// The submission from its first record and, if it was split, its fragments by number; nothing while fragments are
 // missing. Throws if a record is malformed.
 std::optional<JobSpec> spec_from_records(const boost::json::object& first,
                                          const std::map<std::uint32_t, std::string>& fragments);
--- a/src/scheduler/job_demand.cpp
+++ b/src/scheduler/job_demand.cpp
@@ -10,7 +10,7 @@
 using State = Task::State;
 
 const placement::Ask& JobDemand::ask_of(const Job& job) const {
-    // Pools become known as machines of theirs appear.
+    // Pools are added when their first machine appears, so the cached requirements may be outdated.
     if (job.ask.pools.size() != state_.inventory.directory().pools().size() || !job.ask.spec)
         job.ask = placement::make_ask(job.spec, state_.rules, state_.inventory.directory());
     job.ask.priority = job.priority;
@@ -35,9 +35,9 @@
                 out.add_to_zone(t.machine->row.zone);
                 out.own.push_back(t.machine->row.slot);
             }
-    // The worker may still hold the earlier exit of a gang's task, so the replacement must not go there.
+    // The worker may still hold the exited task of the previous attempt, so the replacement must use another machine.
     if (job.is(JobKind::gang)) out.excluded = out.own;
-    // Where some tasks of a job succeed and some fail on many machines, the machines are not at fault.
+    // If some tasks of a job succeed and others fail on many machines, the machines are not at fault.
     if (job.failed_on.size() <= 2 || job.crash_looping())
         for (const auto& name : job.failed_on)
             if (const auto* m = state_.inventory.find(name)) out.excluded.push_back(m->row.slot);
@@ -67,7 +67,8 @@
     return best.count() > 0 ? best : spec.estimated_runtime * 4;
 }
 
-// Tasks of an array follow one another on a machine; only what does not fit into its time needs room at once.
+// Tasks of an array can run one after another on a machine. Only tasks that would then miss the time limit need
+// machines of their own.
 std::uint32_t JobDemand::tasks_wanted_now(const Job& job) const {
     const auto waiting = std::min(job.waiting(), max_planned_tasks);
     if (!job.is(JobKind::array) || job.spec.estimated_runtime.count() <= 0) return waiting;
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -21,8 +21,8 @@
     job->arrived = now;
     const auto window = model::to_clock(state_.operator_settings.batching_window);
     job->window = window_at(spec.accepted_ms);
-    // A window that a former leader opened has closed by now. A critical service would come first in any window,
-    // having no length: there is nothing to gather before it is placed.
+    // A batching window that an earlier leader opened has closed by now. A critical service does not wait for its
+    // window: it would be first in any window anyway, because services have no runtime to sort by.
     const bool first = spec.kind == model::JobKind::service && spec.priority == model::Priority::critical;
     job->eligible_at = known_before || first ? now : TimePoint((now.time_since_epoch() / window + 1) * window);
     job->spec = std::move(spec);
@@ -41,7 +41,7 @@
     job.cancelled_at = at;
     state_.quota.over(job.spec);
     for (std::uint32_t i = 0; i < job.spec.tasks && job.placed; ++i)
-        // A task that no run command was sent for runs nowhere; the others must be seen to be gone.
+        // A task without a run command runs nowhere. The remaining tasks must be reported as gone.
         if (auto& t = job.tasks[i]; t.state == Task::State::placed && !t.run_sent)
             tasks_.leave(job, i, Task::State::waiting, at);
     state_.record_queue.add(job.spec.uid);
@@ -64,7 +64,7 @@
 bool JobLifecycle::apply(const DependencyGraph::Changes& changes, TimePoint now) {
     for (const auto& uid : changes.ready)
         if (auto* job = state_.jobs.find(uid)) make_ready(*job, now);
-    // Before all other records: its users may be told by then.
+    // Written before all other records, because users may already be shown this job as cancelled.
     for (const auto& uid : changes.dependency_failed)
         if (auto* job = state_.jobs.find(uid); job && !job->dependency_failed) {
             spdlog::info("event=job_dependency_failed job={}", uid);
@@ -76,8 +76,8 @@
     return !changes.ready.empty() || !changes.dependency_failed.empty();
 }
 
-// All its times count from now on. The windows of the jobs that it waited for closed long ago: it has been known for at
-// least as long as any window gathers, and must not wait for another.
+// All times of the job count from now. The job has been known for longer than a batching window, so it does not wait
+// for another one.
 void JobLifecycle::make_ready(Job& job, TimePoint now) {
     const auto& uid = job.spec.uid;
     job.waits_for_dependencies = false;
--- a/src/scheduler/job_lifecycle.hpp
+++ b/src/scheduler/job_lifecycle.hpp
@@ -1,4 +1,4 @@
-// The changes of a job as a whole: created, ready, cancelled, finished, and what the dependency graph makes of them.
+// State changes of a whole job: created, ready, cancelled and finished, including the consequences of dependencies.
 #pragma once
 #include "scheduler/task_transitions.hpp"
 
@@ -8,20 +8,20 @@
   public:
     JobLifecycle(SchedulerState& state, TaskTransitions& tasks) : state_(state), tasks_(tasks) {}
 
-    // Adds a job to the table. `known_before`: a former leader had it, so its batching window has closed.
+    // Adds a job to the table. `known_before`: an earlier leader had it, so its batching window has closed.
     Job& create(JobSpec spec, TimePoint now, bool known_before);
-    // Cancels the job as of that time. Tasks that no run command was sent for leave at once, the others once their
-    // workers show that they are gone. Repeated: the earliest time counts.
+    // Cancels the job as of `at`. Tasks without a run command are removed at once; the remaining ones once their
+    // workers report that they are gone. If called again, the earliest time counts.
     void cancel(Job& job, TimePoint at);
-    // The outcome "done" is on record.
+    // The outcome "done" is recorded.
     void finish(Job& job);
-    // Puts a new job into the dependency graph with the jobs that it needs.
+    // Adds a new job and its dependencies to the dependency graph.
     void set_dependencies(Job& job, const std::vector<std::string>& dependencies, TimePoint now);
-    // Applies what the dependency graph concludes. True if a job became ready or must be cancelled.
+    // Applies changes from the dependency graph. Returns whether a job became ready or must be cancelled.
     bool apply(const DependencyGraph::Changes& changes, TimePoint now);
 
   private:
-    // The number of the batching window that holds that time of day, in milliseconds.
+    // The number of the batching window that contains the given time of day in milliseconds.
     std::int64_t window_at(std::int64_t ms) const;
     void make_ready(Job& job, TimePoint now);
 
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -13,8 +13,9 @@
 using State = Task::State;
 
 namespace {
-constexpr unsigned max_reservations = 50;  // gangs that room is reserved for in one pass
-constexpr double array_spot_share = 0.5;   // of its time, for which an array leaves on-demand machines to gangs
+constexpr unsigned max_reservations = 50;  // gangs for which one pass reserves room
+constexpr double array_spot_share =
+    0.5;  // share of an array's target duration during which it leaves on-demand machines to gangs
 }  // namespace
 
 bool PlacementPass::run(TimePoint now) {
@@ -33,7 +34,7 @@
                !job->crash_looping();
     });
     for (auto* job : waiting) place_job(*job, plan, now);
-    // What is spare no longer can be used in the next pass, which comes in a moment.
+    // The next pass, which follows at once, may use the cordoned machines again.
     if (state_.last_shortage == now) spare_.uncordon();
     return any_placed_;
 }
@@ -45,14 +46,14 @@
     state_.awaiting_reconciliation = false;
 }
 
-// What is uncertain shrinks with every machine that is reconciled: a job none of whose tasks can run on one that is not
-// is as certain as ever. What a team may use is certain only in the end.
+// A job is certain if none of its tasks can run on a machine that is not reconciled yet. A team with a quota limit is
+// certain only after reconciliation, when its usage is known.
 std::vector<Job*> PlacementPass::without_uncertain(std::vector<Job*> jobs) const {
     std::set<placement::Id> uncertain_pools;
     bool unknown_pool = false;
     for (const auto& [name, machine] : state_.inventory.all()) {
         if (fleet_.reconciled(*machine)) continue;
-        // Known from a record only, and not listed: its pool is not known.
+        // The machine is known only from a record, and not listed yet: its pool is unknown.
         unknown_pool = unknown_pool || machine->type.empty();
         uncertain_pools.insert(machine->row.pool);
     }
@@ -93,16 +94,16 @@
         replace_gang_members(job, plan, now);
         return;
     }
-    // Members complete together, but one may have reported that it is done whose fellow was lost with its machine
-    // before it could report. The done member is not placed again; the fellow is, and exits as done. Placing all would
-    // count one task as done and as placed, and the number of waiting tasks would underflow.
+    // Normally all members of a gang complete together. However, one member may have reported completion while another
+    // was lost with its machine before its report. Only the lost member is placed again, and it exits as done. Placing
+    // all members would count a task both as done and as placed, and the number of waiting tasks would underflow.
     const auto missing = job.waiting();
     if (demand_.within_quota(job, missing) < missing) return;
     auto hosts = demand_.hosts_of(job);
     const auto places = plan.place_together(ask, hosts, missing);
     if (places.empty()) {
-        // Room for a whole gang seldom comes about by itself while smaller tasks take all that frees. Each reservation
-        // looks at every machine, so in a long queue of gangs it is made for those whose turn may come.
+        // Without a reservation smaller tasks take all room that becomes free, and a whole gang seldom fits. Each
+        // reservation examines every machine, so their number per pass is limited to the first gangs of a long queue.
         if (!job.crash_looping() && reservations_++ < max_reservations) plan.reserve_for_gang(ask, missing);
         return;
     }
@@ -120,8 +121,8 @@
     any_placed_ = true;
 }
 
-// Tasks of an attempt that is ending must all be gone before the next one starts. Until an attempt has started, tasks
-// that it lost are replaced under its own number.
+// All tasks of a failing attempt must be gone before the next attempt starts. Until an attempt has started, its lost
+// tasks are replaced under the same attempt number.
 void PlacementPass::replace_gang_members(Job& job, Planner& plan, TimePoint now) {
     if (job.gang_failing || job.gang_started) return;
     const auto& ask = demand_.ask_of(job);
@@ -141,12 +142,14 @@
     auto hosts = demand_.hosts_of(job);
     auto most = demand_.within_quota(job, std::min(job.waiting(), max_planned_tasks));
     if (job.crash_looping()) {
-        // A try on another machine tells most, and any machine will do once all have failed it.
+        // A try on a machine without earlier failures is the most informative. If the job has failed on all, any
+        // machine is allowed.
         most = std::min(most, job.placed ? 0u : 1u);
         if (most > 0 && plan.peek(ask, hosts) == Planner::none) hosts.excluded.clear();
     }
-    if (now < job.room_made_by) {
-        // Room is being made for the rest of the job: nothing else will do until then.
+    if (now < job.room_expected_at) {
+        // Preemption is making room for the remaining tasks, so until then tasks go only to machines that hold the
+        // image.
         place_with_image(job, hosts, most, plan, now);
         return;
     }
@@ -179,8 +182,9 @@
     return out;
 }
 
-// An array that may use spot machines leaves the others, for half of its time, to gangs that may not and found no room:
-// otherwise room would be requested for those at several times the price, while arrays use the machines that suit them.
+// While gangs that may not use spot machines find no room, an array that may use spot machines leaves on-demand
+// machines to them for half of its target duration. Otherwise arrays would occupy suitable machines, and others would
+// be requested for the gangs at several times the price.
 bool PlacementPass::leaves_on_demand_machines(const Job& job, TimePoint now) const {
     return on_demand_gangs_wait_ && job.spec.spot && job.is(JobKind::array) &&
            job.priority <= model::Priority::normal &&
--- a/src/scheduler/placement_pass.hpp
+++ b/src/scheduler/placement_pass.hpp
@@ -1,4 +1,5 @@
-// One pass over the queue: places what fits, reserves room for gangs, and has room made for what finds none.
+// One pass over the queue of waiting jobs: places tasks that fit, reserves room for gangs, and requests preemption for
+// jobs that find no room.
 #pragma once
 #include <vector>
 
@@ -22,28 +23,28 @@
           relocation_(relocation),
           spare_(spare) {}
 
-    // Places what waits; true if any task was placed.
+    // Runs one pass; true if any task was placed.
     bool run(TimePoint now);
-    // How many passes have been run in this term.
+    // The number of passes in this term.
     std::uint64_t passes() const { return passes_; }
     // Whether a job found no room in the last pass.
     bool any_waiting() const { return any_waiting_; }
 
   private:
     void finish_reconciliation(TimePoint now);
-    // During reconciliation: without the jobs that may run on a machine that has not shown its tasks.
+    // During reconciliation: the jobs that cannot run on any machine whose tasks are unknown.
     std::vector<Job*> without_uncertain(std::vector<Job*> jobs) const;
     void place_job(Job& job, placement::Planner& plan, TimePoint now);
     void place_gang(Job& job, placement::Planner& plan, TimePoint now);
     void replace_gang_members(Job& job, placement::Planner& plan, TimePoint now);
     void place_each(Job& job, placement::Planner& plan, TimePoint now);
     void place_task(Job& job, placement::Id slot, TimePoint now);
-    // Places up to so many tasks where their image is.
+    // Places up to `most` tasks on machines that hold their image.
     void place_with_image(Job& job, placement::JobHosts& hosts, std::uint32_t most, placement::Planner& plan,
                           TimePoint now);
     bool leaves_on_demand_machines(const Job& job, TimePoint now) const;
     placement::Ask spot_only(const placement::Ask& ask) const;
-    // The next waiting task of the job, those placed before first.
+    // The next waiting task of the job; tasks that were placed before come first.
     static std::uint32_t take_waiting(Job& job);
 
     SchedulerState& state_;
@@ -55,7 +56,7 @@
     Relocation& relocation_;
     SpareCapacity& spare_;
     std::uint64_t passes_ = 0;
-    unsigned reservations_ = 0;  // for gangs, in this pass
+    unsigned reservations_ = 0;  // made for gangs in this pass
     bool any_placed_ = false;    // in this pass
     bool any_waiting_ = false;
     bool on_demand_gangs_wait_ = false;  // gangs that may not use spot machines found no room in the last pass
--- a/src/scheduler/placement_queue.cpp
+++ b/src/scheduler/placement_queue.cpp
@@ -5,7 +5,7 @@
 namespace flintdale::scheduler {
 
 namespace {
-// Of jobs that were passed over: sorts before all others.
+// The window of jobs that found no room in an earlier pass; sorts before all other windows.
 constexpr std::int64_t merged_window = -1;
 }  // namespace
 
@@ -18,8 +18,8 @@
         placement::Waiting entry;
         entry.guaranteed = guarantees && demand_.guaranteed(*job);
         entry.priority = job->priority;
-        // What its window could not place waits in one queue with the rest of that kind, ahead of new windows:
-        // otherwise, under load, the order would be that of arrival, and short jobs would wait for long ones.
+        // Jobs that found no room in their window share one queue ahead of new windows. Otherwise, under load, the
+        // order would be that of arrival, and short jobs would wait for long ones.
         entry.window = job->passed_over ? merged_window : job->window;
         entry.length = job->spec.estimated_runtime * job->waiting();
         entry.waited = now - job->arrived;
--- a/src/scheduler/placement_queue.hpp
+++ b/src/scheduler/placement_queue.hpp
@@ -10,8 +10,8 @@
   public:
     PlacementQueue(SchedulerState& state, JobDemand& demand) : state_(state), demand_(demand) {}
 
-    // The runnable jobs with waiting tasks, first in turn first; `eligible_only`: without those whose batching window
-    // is open or that pause after a failure.
+    // The runnable jobs with waiting tasks, in planning order. `eligible_only`: leaves out jobs whose batching window
+    // is open, and jobs that pause after a failure.
     std::vector<Job*> ordered(TimePoint now, bool eligible_only);
 
   private:
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -13,10 +13,12 @@
 using placement::Planner;
 
 namespace {
-constexpr auto preempt_gap = 10s;  // enough for what was stopped to go and for its room to be taken
-constexpr auto room_again = 30s;   // until room for a job's replicas may be made once more
-constexpr int worth_waits = 3;     // times the wait for the victims that an image must take
-constexpr int worth_loss = 2;      // times the loss that the wait for the image must be
+constexpr auto preemption_interval =
+    10s;  // delay until the job may preempt again; victims exit and their room is used within it
+constexpr auto room_retry_interval = 30s;  // delay until room for the replicas of a service may be made again
+constexpr int min_fetch_to_wait_ratio =
+    3;  // the image fetch must take this many times the time until the victims are gone
+constexpr int min_fetch_to_loss_ratio = 2;  // the image fetch must take this many times the loss by preemption
 
 void add(quota::Amount& amount, const model::Resources& need) {
     amount.cpus += need.cpus;
@@ -35,7 +37,7 @@
         if (task.draining) continue;
         if (std::find(already_stopped.begin(), already_stopped.end(), key) != already_stopped.end()) continue;
         const Seconds ran = task.started ? Seconds(now - task.running_since) : Seconds(0);
-        // What is about to end makes room by itself, sooner than a command reaches it.
+        // The task ends before a kill command would reach it.
         if (task.started && other->spec.estimated_runtime - ran < state_.settings.heartbeat_interval) continue;
         const bool saves = other->spec.checkpoint_interval.count() > 0;
         out.emplace_back(saves ? std::min(other->spec.checkpoint_duration, ran) : ran, key);
@@ -60,15 +62,15 @@
     return room;
 }
 
-// Whether tasks of arrays of a lower priority than that are placed anywhere.
+// Whether any array task with a priority below `priority` is placed.
 bool Preemption::any_lower_arrays(Priority priority) const {
     for (std::size_t lower = 0; lower < static_cast<std::size_t>(priority); ++lower)
         if (state_.placed_array_tasks[lower] > 0) return true;
     return false;
 }
 
-// Within a team by priority. What is within a team's guaranteed share is preempted by no other team, and other teams'
-// work beyond their own share is preempted by it, whatever its priority.
+// Within a team the priority decides. Between teams, a job within its team's guaranteed share is never preempted, and
+// preempts jobs beyond their own team's share whatever their priority.
 bool Preemption::is_preemptible_by(const Job& other, const Job& job) const {
     if (other.spec.team != job.spec.team) {
         if (demand_.guaranteed(other)) return false;
@@ -103,17 +105,17 @@
     }
 }
 
-// What is stopped can never stop the same job's tasks in turn, so preemption cannot go on in circles. Without it one
-// team's idle tasks, on for minutes, would keep gangs from machines whose accelerators are unused.
+// A preempted job can never preempt tasks of the job that preempted it, so preemption cannot cycle. Without preemption,
+// idle-priority tasks of one team that run for minutes would keep gangs off machines with unused accelerators.
 void Preemption::preempt(Job& job, const Planner& plan, TimePoint now) {
-    if (now < job.preempt_again || job.crash_looping()) return;
+    if (now < job.next_preemption_at || job.crash_looping()) return;
     if (!any_lower_arrays(job.priority) && !demand_.guaranteed(job)) return;
     const bool gang = job.is(JobKind::gang);
     if (gang && (job.gang_failing || job.gang_started)) return;
     const auto waiting = std::min(job.waiting(), max_planned_tasks);
     const auto wanted = demand_.within_quota(job, waiting);
     if (wanted == 0 || (gang && wanted < waiting)) return;
-    job.preempt_again = now + preempt_gap;
+    job.next_preemption_at = now + preemption_interval;
     const auto hosts = demand_.hosts_of(job);
     auto rooms = rooms_for(job, wanted, plan, hosts, now);
     if (rooms.empty()) return;
@@ -132,7 +134,7 @@
     for (const auto& [name, machine] : state_.inventory.all()) {
         if (machine->tasks.empty() || !fleet_.usable(*machine, now) || !machine->current) continue;
         if (!ask.takes(machine->row.pool)) continue;
-        // One task of the job more on that machine with every turn, for as long as that costs anything.
+        // Each iteration makes room for one more task of the job, until no victims are needed or none are left.
         auto host = machine->row;
         std::vector<TaskKey> stopped;
         for (std::uint32_t n = 0; n < wanted; ++n) {
@@ -147,7 +149,7 @@
     return rooms;
 }
 
-// What is free already counts, and a gang of one zone takes the zone where least has to be stopped.
+// Free room counts first. A gang that must be in one zone takes the zone that needs the fewest victims.
 void Preemption::keep_rooms_for_gang(const Job& job, std::uint32_t wanted, const Planner& plan, const JobHosts& hosts,
                                      std::vector<Room>& rooms) const {
     const auto& ask = demand_.ask_of(job);
@@ -165,7 +167,8 @@
     rooms.clear();
 }
 
-// Where there is room now the image may take minutes; to stop a task of an array that saves its progress costs seconds.
+// Fetching the image on a machine with free room may take minutes. Preempting an array task that saves its progress
+// costs seconds.
 std::uint32_t Preemption::make_room_with_image(Job& job, const Planner& plan, const JobHosts& hosts,
                                                std::uint32_t tasks, TimePoint now) {
     if (job.priority != Priority::critical || !job.is(JobKind::service) || tasks == 0) return 0;
@@ -174,22 +177,24 @@
     if (at == Planner::none) return 0;
     const auto wait = plan.host(at).image_wait(ask.image, job.spec.image_gb);
     const Seconds until_free = state_.settings.heartbeat_interval * 1.25 + Seconds(3);
-    if (wait < until_free * worth_waits) return 0;
-    // Room that was made and is not enough is not made again at once; replicas lost later have their own turn.
-    if (job.room_made_by != TimePoint{} && now < job.room_made_by + room_again) return 0;
+    if (wait < until_free * min_fetch_to_wait_ratio) return 0;
+    // If the room turned out too small, it is not made again at once. Replicas that are lost later than
+    // room_retry_interval may have room made again.
+    if (job.room_expected_at != TimePoint{} && now < job.room_expected_at + room_retry_interval) return 0;
     std::vector<Room> rooms;
     for (const auto& [name, machine] : state_.inventory.all()) {
         if (!machine->row.has(ask.image) || !fleet_.usable(*machine, now) || !machine->current) continue;
         if (!ask.takes(machine->row.pool)) continue;
         auto host = machine->row;
         auto room = room_on(job, *machine, host, plan, hosts, {}, now);
-        if (!room.victims.empty() && (room.loss + until_free) * worth_loss < wait) rooms.push_back(std::move(room));
+        if (!room.victims.empty() && (room.loss + until_free) * min_fetch_to_loss_ratio < wait)
+            rooms.push_back(std::move(room));
     }
     if (rooms.empty()) return 0;
     std::sort(rooms.begin(), rooms.end());
     if (rooms.size() > tasks) rooms.resize(tasks);
     for (const auto& room : rooms) stop(job, room.victims);
-    job.room_made_by = after(now, until_free);
+    job.room_expected_at = after(now, until_free);
     return static_cast<std::uint32_t>(rooms.size());
 }
 
--- a/src/scheduler/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -1,5 +1,5 @@
-// Stops tasks of arrays of lower priority, or beyond their team's guaranteed share, where a job finds no room. Only
-// marks tasks as draining; reconciliation sends the commands.
+// Preempts array tasks of lower priority, or beyond their team's guaranteed share, when a job finds no room. Preemption
+// only marks tasks as draining; HeartbeatReconciler sends the kill commands.
 #pragma once
 #include <map>
 #include <string>
@@ -15,38 +15,39 @@
     Preemption(SchedulerState& state, JobDemand& demand, FleetView& fleet)
         : state_(state), demand_(demand), fleet_(fleet) {}
 
-    // Makes room for the job's waiting tasks: where that loses the least work, until all of them would fit; for a gang
-    // all or nothing.
+    // Makes room for the job's waiting tasks, starting where the least work is lost, until all of them fit. A gang gets
+    // room for all of its tasks or for none.
     void preempt(Job& job, const placement::Planner& plan, TimePoint now);
-    // How many of so many tasks of a critical service wait for room that is made on machines with their image.
+    // Preempts tasks on machines that hold the image of a critical service. Returns how many of the service's `tasks`
+    // tasks should wait for that room.
     std::uint32_t make_room_with_image(Job& job, const placement::Planner& plan, const placement::JobHosts& hosts,
                                        std::uint32_t tasks, TimePoint now);
 
   private:
-    // Room for one task of the job, and what it costs.
+    // A machine that could have room for one task of the job, and the cost of making it.
     struct Room {
-        Seconds loss{0};  // work lost, and the wait for the image
+        Seconds loss{0};  // work lost, plus the time until the image is there
         placement::Id zone = placement::unknown_zone;
         std::vector<TaskKey> victims;  // tasks to stop
         bool operator<(const Room& o) const { return loss != o.loss ? loss < o.loss : victims < o.victims; }
     };
 
-    // Tasks on that machine to stop so that one task of the job fits, least loss first; no victims if that is not
-    // enough. `host` is the machine's row, and becomes what it would be without them.
+    // The tasks to stop on that machine so that one task of the job fits, least loss first; no victims if that is not
+    // enough. `host` is a copy of the machine's row, from which the victims are removed.
     Room room_on(const Job& job, const Machine& machine, placement::Host& host, const placement::Planner& plan,
                  const placement::JobHosts& hosts, const std::vector<TaskKey>& already_stopped, TimePoint now) const;
-    // The tasks on the machine that may be stopped for the job, with the work that each loses, least first.
+    // The tasks on the machine that the job may preempt, with the work that each loses, least first.
     std::vector<std::pair<Seconds, TaskKey>> preemptible_on(const Job& job, const Machine& machine,
                                                             const std::vector<TaskKey>& already_stopped,
                                                             TimePoint now) const;
     std::vector<Room> rooms_for(const Job& job, std::uint32_t wanted, const placement::Planner& plan,
                                 const placement::JobHosts& hosts, TimePoint now) const;
-    // Leaves the rooms that a whole gang needs beside what is free; none if it would not fit.
+    // Keeps only the rooms that a gang needs beyond the free room; none if the whole gang would not fit.
     void keep_rooms_for_gang(const Job& job, std::uint32_t wanted, const placement::Planner& plan,
                              const placement::JobHosts& hosts, std::vector<Room>& rooms) const;
     bool any_lower_arrays(model::Priority priority) const;
     bool is_preemptible_by(const Job& other, const Job& job) const;
-    // What is being stopped already, by team.
+    // The resources of the tasks that are already being stopped, by team.
     std::map<std::string, quota::Amount> being_stopped() const;
     void stop(const Job& job, const std::vector<TaskKey>& victims);
 
--- a/src/scheduler/record_garbage.cpp
+++ b/src/scheduler/record_garbage.cpp
@@ -2,9 +2,9 @@
 
 namespace flintdale::scheduler {
 
-state::Txn RecordGarbage::take(std::size_t most) {
+state::Txn RecordGarbage::take(std::size_t max_records) {
     state::Txn txn;
-    for (; !records_.empty() && txn.changes.size() < most; records_.pop_back()) {
+    for (; !records_.empty() && txn.changes.size() < max_records; records_.pop_back()) {
         const auto& [key, mod_revision] = records_.back();
         txn.conditions.push_back({key, mod_revision});
         txn.changes.push_back({key, std::nullopt, 0});
--- a/src/scheduler/record_garbage.hpp
+++ b/src/scheduler/record_garbage.hpp
@@ -1,4 +1,4 @@
-// Records of jobs that are over, kept until there is nothing better to write than their removal.
+// Records of jobs that are over. They are removed with the lowest priority of all writes.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,14 +12,14 @@
 class RecordGarbage {
   public:
     void add(const std::string& key, std::uint64_t mod_revision) { records_.push_back({key, mod_revision}); }
-    // Takes up to so many records out and returns the transaction that removes them, conditioned on their revisions.
-    // The caller adds the term's condition. Empty if there is nothing to remove.
-    state::Txn take(std::size_t most);
-    // The transaction was not committed: its records are garbage still.
+    // Takes out at most `max_records` records and returns the transaction that removes them, conditioned on their
+    // revisions. The caller adds the condition on the term. Empty if there is no garbage.
+    state::Txn take(std::size_t max_records);
+    // The transaction was not committed, so its records are added again.
     void restore(const state::Txn& txn);
 
   private:
-    std::vector<OldRecord> records_;  // the last one is removed first
+    std::vector<OldRecord> records_;  // removed from the back
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/record_loader.cpp
+++ b/src/scheduler/record_loader.cpp
@@ -9,32 +9,33 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t max_fragmented = 1000;  // submissions of which fragments are awaited
-constexpr std::chrono::milliseconds longest_wait = std::chrono::hours(24);  // that another clock is believed
+constexpr std::size_t max_fragmented = 1000;  // incomplete submissions kept; the number bounds memory
+constexpr std::chrono::milliseconds max_clock_age =
+    std::chrono::hours(24);  // cap on ages computed from another controller's clock
 
 bool is_over(DependencyGraph::Status status) {
     return status == DependencyGraph::Status::done || status == DependencyGraph::Status::cancelled;
 }
 }  // namespace
 
-void RecordLoader::load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t at) {
+void RecordLoader::load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t time_of_day_ms) {
     std::map<std::string, Records> found;
     for (const auto& item : work)
         if (auto key = parse_work_key(item.key)) found[key->uid].emplace_back(std::move(*key), &item);
     for (auto& [uid, records] : found) {
         if (state_.jobs.contains(uid)) continue;
         try {
-            load_job(uid, records, now, at);
+            load_job(uid, records, now, time_of_day_ms);
         } catch (const std::exception& e) {
             spdlog::error("event=record_unreadable job={} why=\"{}\"", uid, e.what());
-            // Where its tasks are is not known, so none of them may be started.
+            // The machines of its tasks are unknown, so none of its tasks may be started.
             if (const auto* job = state_.jobs.find(uid)) state_.quota.over(job->spec);
             state_.jobs.erase(uid);
         }
     }
 }
 
-void RecordLoader::load_job(const std::string& uid, Records& records, TimePoint now, std::int64_t at) {
+void RecordLoader::load_job(const std::string& uid, Records& records, TimePoint now, std::int64_t time_of_day_ms) {
     const auto is_first = [](const auto& record) { return record.first.first(); };
     if (std::none_of(records.begin(), records.end(), is_first)) {
         load_without_first(records, now);
@@ -43,19 +44,21 @@
     for (const auto& [key, item] : records) assemble(key, *item, now, true);
     auto* job = state_.jobs.find(uid);
     if (!job) return;
-    // Its wait did not begin with this leader: age, deadline and what is due after half of the target time go by it. A
-    // job that waited for others counts from when they were done, and is not older than this leader knows.
-    if (const auto accepted = job->spec.accepted_ms; at > accepted && accepted > 0 && job->spec.dependencies.empty())
-        job->arrived = now - std::min(std::chrono::milliseconds(at - accepted), longest_wait);
+    // The job's wait started at its acceptance, under an earlier leader. Aging, the deadline and the rules based on
+    // half of the target duration depend on that time. The wait of a job with dependencies begins when they
+    // are done; here it counts from this load.
+    if (const auto accepted = job->spec.accepted_ms;
+        time_of_day_ms > accepted && accepted > 0 && job->spec.dependencies.empty())
+        job->arrived = now - std::min(std::chrono::milliseconds(time_of_day_ms - accepted), max_clock_age);
     restore_tasks(*job, read_tasks(*job, records), now);
     if (job->done == job->spec.tasks) state_.record_queue.add(uid);
-    // The leader that placed some of it had read that all the jobs it needs are done.
+    // A task of this job was placed, so an earlier leader had read that all its dependencies are done.
     const bool was_ready = job->first_unplaced > 0;
     lifecycle_.set_dependencies(*job, was_ready ? std::vector<std::string>{} : job->spec.dependencies, now);
 }
 
-// The job is over, and its last leader ended before it had removed every record. A fragment without the first record
-// may be of a job that was accepted while the records were being read.
+// Without its first record a job is over, and its last leader ended before it removed all records. A fragment is an
+// exception: its job may have been accepted while the records were being read.
 void RecordLoader::load_without_first(const Records& records, TimePoint now) {
     for (const auto& [key, item] : records)
         if (key.fragment)
@@ -65,13 +68,13 @@
 }
 
 std::vector<model::TaskRange> RecordLoader::read_tasks(Job& job, Records& records) {
-    // Of two records with the same task the one with fewer tasks counts; it was written later.
+    // If two records contain the same task, the one with fewer tasks per record was written later and takes precedence.
     std::sort(records.begin(), records.end(),
               [](const auto& a, const auto& b) { return a.first.tasks_per_record > b.first.tasks_per_record; });
     std::vector<model::TaskRange> last(job.spec.tasks);
     for (const auto& [key, item] : records) {
         if (key.fragment || key.tasks_per_record > job.tasks_per_record)
-            continue;  // the first record of a fragmented submission has no tasks
+            continue;  // the first record of a split submission contains no tasks
         if (key.tasks_per_record < job.tasks_per_record) job.split_records(key.tasks_per_record);
         if (key.chunk >= job.chunks.size()) continue;
         job.chunks[key.chunk].mod_revision = item->mod_revision;
@@ -86,7 +89,7 @@
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
         restore_task(job, i, last[i], now);
         const auto& task = job.tasks[i];
-        // Attempts never fall, so a task with an attempt was placed once.
+        // Attempt numbers never decrease, so a task with an attempt was placed before.
         if (task.state != Task::State::waiting || task.attempt) job.first_unplaced = i + 1;
         job.gang_attempt = std::max(job.gang_attempt, task.attempt);
     }
@@ -111,7 +114,7 @@
 bool RecordLoader::is_behind(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const {
     const auto key = parse_work_key(item.key);
     const auto* tasks = key && item.value.is_object() ? item.value.get_object().if_contains("tasks") : nullptr;
-    // Our own writes are seen here as well, those of jobs that are over and forgotten included.
+    // The watch also delivers this leader's own writes, including those of jobs that are over and no longer in memory.
     if (!tasks || !tasks->is_array() || tasks->get_array().empty() || over(key->uid)) return false;
     const auto* known = state_.jobs.find(key->uid);
     if (!known) return true;
@@ -152,25 +155,26 @@
         submission.first = item;
     }
     const auto& first = submission.first.value.as_object();
-    // Our own writes are seen here as well, late ones of jobs that are over and forgotten included: only a record
-    // without any task is that of a job just accepted.
+    // The watch also delivers this leader's own writes, possibly late and for jobs that are over and no longer in
+    // memory. Only a record without tasks belongs to a newly accepted job.
     if (!recovering && !first.at("tasks").as_array().empty()) return nullptr;
     auto spec = spec_from_records(first, submission.fragments);
     if (!spec) return nullptr;
     auto& job = lifecycle_.create(std::move(*spec), now, recovering);
     job.chunks[0].mod_revision = submission.first.mod_revision;
     job.superseded = std::move(submission.records);
-    // The first record holds no submission that could be written again beside its tasks.
+    // The first record of a split submission cannot be rewritten with tasks, because it does not contain the
+    // submission. The tasks go to smaller records.
     if (first.if_contains("cut")) job.split_records(job.tasks_per_record / 2);
     fragmented_.erase(key.uid);
     state_.jobs.mark_count_changed(key.uid);
     return &job;
 }
 
-bool RecordLoader::job_changed(const state::KeyValue& item, TimePoint now, std::int64_t wall) {
+bool RecordLoader::job_changed(const state::KeyValue& item, TimePoint now, std::int64_t time_of_day_ms) {
     if (!item.mod_revision || !item.value.is_object()) return false;
     try {
-        if (!item.key.starts_with(work_prefix)) return outcome_read(item, now, wall);
+        if (!item.key.starts_with(work_prefix)) return outcome_read(item, now, time_of_day_ms);
         const auto key = parse_work_key(item.key);
         auto* job = key ? assemble(*key, item, now, false) : nullptr;
         if (job) lifecycle_.set_dependencies(*job, job->spec.dependencies, now);
@@ -181,8 +185,8 @@
     return false;
 }
 
-// Returns whether the outcome changes anything.
-bool RecordLoader::outcome_read(const state::KeyValue& item, TimePoint now, std::int64_t wall) {
+// Returns whether the outcome changed anything.
+bool RecordLoader::outcome_read(const state::KeyValue& item, TimePoint now, std::int64_t time_of_day_ms) {
     const auto& record = item.value.get_object();
     const auto outcome = wire::job_state_from(std::string_view(record.at("state").as_string()));
     const auto uid = item.key.substr(item.key.rfind('/') + 1);
@@ -193,10 +197,10 @@
     if (!job || job->finished) return changed;
     if (outcome == model::JobState::cancelled) {
         changed = changed || !job->cancelled;
-        // A watch that stayed open through a refusal or an outage reports it late, and the cancel deadline has run
-        // since.
-        const auto since = at ? std::chrono::milliseconds(wall - ended_at) : 0ms;
-        lifecycle_.cancel(*job, now - std::clamp<std::chrono::milliseconds>(since, 0ms, longest_wait));
+        // After a refusal or an outage of the store the watch delivers the cancellation late. The cancel deadline runs
+        // from the time of the outcome.
+        const auto since = at ? std::chrono::milliseconds(time_of_day_ms - ended_at) : 0ms;
+        lifecycle_.cancel(*job, now - std::clamp<std::chrono::milliseconds>(since, 0ms, max_clock_age));
         return changed;
     }
     if (job->cancelled) return changed;
--- a/src/scheduler/record_loader.hpp
+++ b/src/scheduler/record_loader.hpp
@@ -1,4 +1,4 @@
-// Reads jobs from their records: all of them after a failover, and single ones as they change.
+// Loads jobs from their records: all of them after an election, and single ones as their keys change.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,32 +15,33 @@
     RecordLoader(SchedulerState& state, TaskTransitions& tasks, JobLifecycle& lifecycle)
         : state_(state), tasks_(tasks), lifecycle_(lifecycle) {}
 
-    // See Scheduler for these.
-    void load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t at);
-    bool job_changed(const state::KeyValue& item, TimePoint now, std::int64_t at);
+    // The functions of Scheduler with the same names document these.
+    void load(const std::vector<state::KeyValue>& work, TimePoint now, std::int64_t time_of_day_ms);
+    bool job_changed(const state::KeyValue& item, TimePoint now, std::int64_t time_of_day_ms);
     bool is_behind(const state::KeyValue& item, const std::function<bool(const std::string&)>& over) const;
     std::vector<std::string> keys_to_read() const;
 
   private:
     using Records = std::vector<std::pair<WorkKey, const state::KeyValue*>>;
-    // A submission too long for one value, until all its fragments are there.
+    // A submission that was split over several values, while some of its records are missing.
     struct FragmentedSubmission {
         state::KeyValue first;
         std::map<std::uint32_t, std::string> fragments;
         std::vector<OldRecord> records;
     };
 
-    void load_job(const std::string& uid, Records& records, TimePoint now, std::int64_t at);
+    void load_job(const std::string& uid, Records& records, TimePoint now, std::int64_t time_of_day_ms);
     void load_without_first(const Records& records, TimePoint now);
-    // The tasks' places by the job's records; also notes the records' revisions.
+    // Returns the recorded state of each task, and stores the records' revisions in the job.
     std::vector<model::TaskRange> read_tasks(Job& job, Records& records);
     void restore_tasks(Job& job, const std::vector<model::TaskRange>& last, TimePoint now);
     void restore_task(Job& job, std::uint32_t task, const model::TaskRange& last, TimePoint now);
-    // The new job that this record completes, or null. `recovering`: the record may show tasks.
+    // The job that this record completes, or null if the job is known or still incomplete. `recovering`: the record may
+    // contain tasks.
     Job* assemble(const WorkKey& key, const state::KeyValue& item, TimePoint now, bool recovering);
-    // Adds the record to its fragmented submission. Returns what is known of it, or null if it is not wanted.
+    // Adds the record to its split submission. Returns the records that are known so far, or null if the job is over.
     FragmentedSubmission* add_fragment(const WorkKey& key, const state::KeyValue& item);
-    bool outcome_read(const state::KeyValue& item, TimePoint now, std::int64_t wall);
+    bool outcome_read(const state::KeyValue& item, TimePoint now, std::int64_t time_of_day_ms);
 
     SchedulerState& state_;
     TaskTransitions& tasks_;
--- a/src/scheduler/record_queue.hpp
+++ b/src/scheduler/record_queue.hpp
@@ -1,5 +1,4 @@
-// Which jobs have records to write, in the order of writing. Knows job ids only: what is written is the record
-// writer's matter.
+// The ids of the jobs that have records to write, in writing order. The contents come from RecordWriter.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -13,11 +12,12 @@
 
 class RecordQueue {
   public:
-    // Adds the job at the end; a job that is queued already keeps its place.
+    // Adds the job at the end; a job that is already queued keeps its position.
     void add(const std::string& uid);
-    // Moves or adds the job to the front.
+    // Adds the job at the front, or moves it there.
     void add_first(const std::string& uid);
-    // Adds the job once `due` is reached, and all that was deferred before it. The first deferral of a job counts.
+    // Adds the job once `due` is reached and all earlier deferrals have been queued. If the job is already deferred,
+    // its first deferral counts.
     void add_later(const std::string& uid, model::TimePoint due);
     // Queues the deferred jobs that are due, in the order of their deferral.
     void promote_due(model::TimePoint now);
--- a/src/scheduler/record_writer.cpp
+++ b/src/scheduler/record_writer.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 constexpr std::size_t max_txn_bytes = 44 * 1024;
-constexpr std::size_t outcome_bytes = 1024;  // estimates, for the limit above
+constexpr std::size_t outcome_bytes = 1024;  // estimated sizes, compared with max_txn_bytes
 constexpr std::size_t work_bytes = 600, range_bytes = 32;
-constexpr std::chrono::seconds retry_rejected{10};  // after which a rejected record is tried again
+constexpr std::chrono::seconds retry_rejected{10};  // delay before a rejected record is written again
 }  // namespace
 
-bool RecordWriter::Draft::full() const { return batch.txn.changes.size() >= most || bytes >= max_txn_bytes; }
+bool RecordWriter::Draft::full() const { return batch.txn.changes.size() >= max_changes || bytes >= max_txn_bytes; }
 
-Batch RecordWriter::next_batch(std::size_t most, std::int64_t at) {
+Batch RecordWriter::next_batch(std::size_t max_changes, std::int64_t time_of_day_ms) {
     Draft draft;
-    draft.most = std::clamp<std::size_t>(most, 2, state_.record_format.limits().txn_ops);
+    draft.max_changes = std::clamp<std::size_t>(max_changes, 2, state_.record_format.limits().txn_ops);
     if (single_batches_ > 0) {
         --single_batches_;
-        draft.most = 1;
+        draft.max_changes = 1;
     }
     draft.batch.txn.conditions.push_back({election::term_key, state_.term_revision});
     auto left = state_.record_queue.size();
-    for (; left > 0 && !draft.full(); --left) add_job(state_.record_queue.pop(), at, draft);
+    for (; left > 0 && !draft.full(); --left) add_job(state_.record_queue.pop(), time_of_day_ms, draft);
     return std::move(draft.batch);
 }
 
-void RecordWriter::add_job(const std::string& uid, std::int64_t at, Draft& draft) {
+void RecordWriter::add_job(const std::string& uid, std::int64_t time_of_day_ms, Draft& draft) {
     auto* job = state_.jobs.find(uid);
     if (!job) return;
     const bool complete = job->done == job->spec.tasks && !job->cancelled && !job->finished;
@@ -38,23 +38,24 @@
     if (over)
         forget(uid);
     else if (job->dependency_failed && !job->cancelled)
-        add_outcome(*job, model::JobState::cancelled, at, draft);
+        add_outcome(*job, model::JobState::cancelled, time_of_day_ms, draft);
     else if (complete)
-        add_outcome(*job, model::JobState::done, at, draft);
+        add_outcome(*job, model::JobState::done, time_of_day_ms, draft);
     else if (!job->cancelled && !add_changed_records(*job, draft))
         state_.record_queue.add(uid);
 }
 
-// The first outcome to be committed decides between done and cancelled: both require that there is no outcome.
-void RecordWriter::add_outcome(const Job& job, model::JobState outcome, std::int64_t at, Draft& draft) const {
+// Done and cancelled outcomes both require that the key is absent, so the first one to be committed wins.
+void RecordWriter::add_outcome(const Job& job, model::JobState outcome, std::int64_t time_of_day_ms,
+                               Draft& draft) const {
     const auto& uid = job.spec.uid;
     const auto key = outcome_key(uid);
     const auto spec = wire::spec_to_record(job.spec);
-    auto record = outcome_record(state_.record_format, outcome, at, &spec, {job.spec.kind, job.spec.tasks});
+    auto record = outcome_record(state_.record_format, outcome, time_of_day_ms, &spec, {job.spec.kind, job.spec.tasks});
     const auto kind = outcome == model::JobState::done ? Batch::Part::Kind::finish : Batch::Part::Kind::abort;
     draft.batch.txn.conditions.push_back({key, 0});
     draft.batch.txn.changes.push_back({key, std::move(record), 0});
-    draft.batch.parts.push_back({uid, 0, job.generation, kind, at});
+    draft.batch.parts.push_back({uid, 0, job.generation, kind, time_of_day_ms});
     draft.batch.keys.push_back(key);
     draft.bytes += outcome_bytes;
 }
@@ -67,7 +68,7 @@
         const auto& chunk = job.chunks[index];
         if (draft.full()) return false;
         draft.bytes += work_bytes + record["tasks"].as_array().size() * range_bytes;
-        // No placement may be added once the job was cancelled.
+        // No placement may be recorded once the job has an outcome.
         if (batch.keys.empty() || batch.keys.back() != outcome) {
             batch.txn.conditions.push_back({outcome, 0});
             batch.keys.push_back(outcome);
@@ -96,21 +97,21 @@
     return out;
 }
 
-// The job is over and none of its tasks is anywhere. Workers that still show one are told to clear it. Its records may
-// stay for a while: whoever reads them looks for an outcome as well.
+// The job is over and no machine runs any of its tasks. A worker that still reports one gets a clear command. Readers
+// of its remaining records check for an outcome, so the records may be removed later.
 void RecordWriter::forget(const std::string& uid) {
     auto& job = *state_.jobs.find(uid);
     job.split_records(job.tasks_per_record);
-    // Garbage is removed last in, first out, and the first record must go last: as long as it is there, the others are
-    // known to belong to a job.
+    // Garbage is removed last in, first out. The first record must be removed last, because the other records belong to
+    // a job only as long as it exists.
     std::stable_partition(job.superseded.begin(), job.superseded.end(),
                           [&](const OldRecord& record) { return record.key == work_key(uid, 0); });
     for (const auto& record : job.superseded) state_.garbage.add(record.key, record.mod_revision);
     state_.jobs.erase(uid);
 }
 
-state::Txn RecordWriter::take_garbage(std::size_t most) {
-    auto txn = state_.garbage.take(std::min(most, state_.record_format.limits().txn_ops));
+state::Txn RecordWriter::take_garbage(std::size_t max_records) {
+    auto txn = state_.garbage.take(std::min(max_records, state_.record_format.limits().txn_ops));
     if (!txn.changes.empty()) txn.conditions.push_back({election::term_key, state_.term_revision});
     return txn;
 }
@@ -141,8 +142,8 @@
     return ready;
 }
 
-// One record that is never taken must not stop all others: each is tried alone, and the one at fault is split, or left
-// for a while.
+// A record that is always rejected must not block the writes of other jobs. Each record of the batch is retried alone;
+// the rejected one is split, or deferred.
 void RecordWriter::rejected(const Batch& batch, TimePoint now) {
     if (batch.parts.size() > 1) {
         single_batches_ = batch.parts.size();
--- a/src/scheduler/relocation.cpp
+++ b/src/scheduler/relocation.cpp
@@ -7,16 +7,16 @@
 using State = Task::State;
 
 namespace {
-constexpr double slow_fetch = 1.33;  // times the nominal time that an image may take
-constexpr int move_intervals = 4;    // heartbeat intervals after which a move is given up
-constexpr int worth_intervals = 2;   // heartbeat intervals of waiting that make a move worth it
+constexpr double slow_fetch_factor = 1.33;  // factor on the nominal fetch time of an image
+constexpr int move_timeout_intervals = 4;   // heartbeat intervals after which a move is given up
+constexpr int min_gain_intervals = 2;       // heartbeat intervals of remaining fetch time that justify a move
 }  // namespace
 
 void Relocation::start(const Job& job, std::uint32_t task, placement::Id to, TimePoint now) {
     spdlog::debug("event=task_relocation_started task={}/{} from={} to={}", job.spec.uid, task,
                   job.tasks[task].machine->name, state_.inventory.at(to)->name);
     state_.jobs.find(job.spec.uid)->tasks[task].draining = true;
-    moves_.push_back({job.spec.uid, to, task, after(now, state_.settings.heartbeat_interval * move_intervals)});
+    moves_.push_back({job.spec.uid, to, task, after(now, state_.settings.heartbeat_interval * move_timeout_intervals)});
 }
 
 bool Relocation::finish(placement::Planner& plan, TimePoint now) {
@@ -62,8 +62,8 @@
     const auto& here = t.machine->row;
     const auto& ask = demand_.ask_of(job);
     if (here.has(ask.image)) return;
-    const Seconds left = here.image_wait(ask.image, job.spec.image_gb) * slow_fetch - (now - t.placed_at);
-    if (left < state_.settings.heartbeat_interval * worth_intervals) return;
+    const Seconds left = here.image_wait(ask.image, job.spec.image_gb) * slow_fetch_factor - (now - t.placed_at);
+    if (left < state_.settings.heartbeat_interval * min_gain_intervals) return;
     const auto at = plan.peek(ask, demand_.hosts_without(job, task));
     if (at == placement::Planner::none || !plan.host(at).has(ask.image)) return;
     plan.reserve(at, ask);
--- a/src/scheduler/relocation.hpp
+++ b/src/scheduler/relocation.hpp
@@ -1,5 +1,5 @@
-// Tasks that move from one machine to another: the task is drained where it is, and its room at the destination is
-// reserved in every plan until it can be placed there.
+// Moves tasks between machines. The task is drained on its machine, and its room on the destination stays reserved in
+// every plan until the task can be placed there.
 #pragma once
 #include <string>
 #include <vector>
@@ -14,12 +14,12 @@
     Relocation(SchedulerState& state, TaskTransitions& tasks, JobDemand& demand)
         : state_(state), tasks_(tasks), demand_(demand) {}
 
-    // Starts to move the task to the machine of that slot.
+    // Starts to move the task to the machine with slot `to`.
     void start(const Job& job, std::uint32_t task, placement::Id to, TimePoint now);
-    // Places the moved tasks that are gone from where they were, and reserves the room of the others. True if any was
-    // placed.
+    // Places the moved tasks that have left their machines, and reserves room for those that have not. Returns whether
+    // any task was placed.
     bool finish(placement::Planner& plan, TimePoint now);
-    // Moves tasks that wait for their image to machines that have it by now.
+    // Moves tasks that are waiting for their image to machines that hold it now.
     void move_fetching(placement::Planner& plan, TimePoint now);
     bool any() const { return !moves_.empty(); }
 
@@ -28,11 +28,11 @@
         std::string uid;
         placement::Id to = 0;  // slot of the destination
         std::uint32_t task = 0;
-        TimePoint until{};  // when it is given up
+        TimePoint until{};  // when the move is given up
     };
     enum class Progress : std::uint8_t { pending, placed, given_up };
     Progress advance(const Move& move, placement::Planner& plan, TimePoint now);
-    // Moves the task if it waits for its image and another machine has it.
+    // Moves the task if it is waiting for its image and another machine holds it.
     void move_if_faster(const Job& job, std::uint32_t task, placement::Planner& plan, TimePoint now);
 
     SchedulerState& state_;
--- a/src/scheduler/run_commands.cpp
+++ b/src/scheduler/run_commands.cpp
@@ -6,7 +6,7 @@
 
 void RunCommands::add(Job& job, std::uint32_t task, const Machine& machine, std::vector<model::Command>& commands) {
     if (!job.durable(task) || machine.releasing || commands.size() >= max_commands) return;
-    // The placement is on record, so a leader after this one knows where the task may run.
+    // The placement is recorded, so the next leader knows where the task may run.
     job.tasks[task].run_sent = true;
     commands.push_back({model::CommandType::run, {job.spec.uid, task}, job.tasks[task].attempt, Seconds(0)});
 }
@@ -34,8 +34,8 @@
         if (!job || job->cancelled || job->finished || (job->is(model::JobKind::gang) && job->gang_failing)) continue;
         const auto& task = job->tasks[i];
         if (task.run_sent || task.reported || task.draining || out.size() + 2 > max_commands) continue;
-        // A gang member that waits there under an attempt that was given up must be killed first: a worker refuses a
-        // task that it has under another attempt, and the gang would fail at once.
+        // A gang member that waits on this machine under an earlier attempt must be killed first. A worker refuses a
+        // task that it already has under another attempt, and the gang would fail at once.
         for (const auto& old : heartbeat.tasks)
             if (old.id.uid == uid && old.id.index == i && old.attempt != task.attempt && job->durable(i) &&
                 old.status != model::TaskStatus::exited)
--- a/src/scheduler/run_commands.hpp
+++ b/src/scheduler/run_commands.hpp
@@ -1,4 +1,4 @@
-// The run commands for tasks whose placement is on record.
+// Run commands for tasks whose placement is recorded.
 #pragma once
 #include <vector>
 
@@ -8,21 +8,22 @@
 
 namespace flintdale::scheduler {
 
-// Commands in one answer, of some 100 bytes each: well within the limit of a line.
+// Commands in one answer. At about 100 bytes each they stay well within the limit on lines.
 inline constexpr std::size_t max_commands = 300;
 
 class RunCommands {
   public:
     explicit RunCommands(SchedulerState& state) : state_(state) {}
 
-    // Adds the run command of a placed task, unless its placement is not on record yet, its machine is being released
+    // Adds the run command of a placed task, unless its placement is not recorded yet, its machine is being released,
     // or the answer is full.
     void add(Job& job, std::uint32_t task, const Machine& machine, std::vector<model::Command>& commands);
-    // Runs of tasks placed since that heartbeat, for its delayed answer; none if a newer heartbeat has come.
+    // The run commands for tasks placed since that heartbeat, for its delayed answer; none if a newer heartbeat has
+    // arrived.
     std::vector<model::Command> pending(const model::Heartbeat& heartbeat);
-    // Whether that is the last heartbeat of a machine that knows this term.
+    // Whether the heartbeat is the last one of the machine, and the machine has seen this term.
     static bool is_latest(const Machine& machine, const model::Heartbeat& heartbeat);
-    // Whether a task placed on the machine still waits for its run command.
+    // Whether a task placed on the machine has not been sent its run command.
     bool any_pending(const Machine& machine) const;
 
   private:
--- a/src/scheduler/scale_in.cpp
+++ b/src/scheduler/scale_in.cpp
@@ -7,20 +7,24 @@
 namespace flintdale::scheduler {
 
 namespace {
-constexpr std::size_t max_release = 100;  // machines in one call to the cloud
-constexpr Seconds default_boot{60};       // of a machine of an unknown type
-constexpr Seconds min_boot_timeout{30};   // before a machine that never reported is given up
-constexpr int new_leader_intervals = 4;   // heartbeat intervals before a new leader gives up such machines
-constexpr double notice_intervals = 1.5;  // heartbeat intervals of silence after the time of a notice
-constexpr double silent_intervals = 1.7;  // heartbeat intervals that a machine must be silent to be given up
-constexpr Seconds lease_margin{5};        // beyond the lease, where many machines are silent
-constexpr Seconds listed_dead{30};        // after which the cloud's list tells that a machine has died
-constexpr double list_lags = 1.5;         // times the lag of the list, for the list to come
-constexpr double quiet_zone_boots = 2;    // beyond its lease that a machine of a zone that is cut off is waited for
-constexpr double cut_off_leases = 3;      // that a leader without heartbeats waits before it releases machines
-constexpr int lately_intervals = 2;       // heartbeat intervals within which an idle machine must have reported
-constexpr int missed_heartbeats = 3;      // after which a machine with cancelled work is given up at half time
-constexpr Seconds release_time{5};        // for a release before the cancel deadline, beside a late heartbeat
+constexpr std::size_t max_release = 100;  // limit of one call to the cloud
+constexpr Seconds default_boot{60};       // boot time of machines of unknown type
+constexpr Seconds min_boot_timeout{30};   // minimum time until a machine that never reported is released
+constexpr int new_term_intervals =
+    4;  // heartbeat intervals of a new term before machines that never reported are released
+constexpr double termination_silence_intervals =
+    1.5;                                    // heartbeat intervals of silence after the announced termination time
+constexpr double silent_intervals = 1.7;    // minimum heartbeat intervals of silence before a machine is released
+constexpr Seconds lease_margin{5};          // added to the lease where many machines are silent
+constexpr Seconds death_listing_delay{30};  // time until the cloud's list shows that a machine has died
+constexpr double list_lag_factor = 1.5;     // list lags until such a list has arrived
+constexpr double quiet_zone_boots = 2;  // boot times, added to the lease, that machines of a cut-off zone may be silent
+constexpr double cut_off_leases =
+    3;  // leases that a leader without heartbeats waits before it releases silent machines
+constexpr int idle_report_intervals = 2;  // heartbeat intervals within which an idle machine must have reported
+constexpr int missed_heartbeats =
+    3;  // missed before a machine with cancelled work is released at half of the cancel deadline
+constexpr Seconds release_margin{5};  // time for a release to take effect, beside one late heartbeat
 }  // namespace
 
 std::vector<Release> ScaleIn::run(TimePoint now) const {
@@ -28,18 +32,20 @@
     std::vector<Release> out;
     for (const auto& [name, machine] : state_.inventory.all()) {
         const char* why = reason(*machine, situation);
-        // Whatever else speaks for it: in an outage no other reason counts, not even where a release was requested
-        // before or a termination was announced, for nobody can tell whether the machine is gone.
-        if (cancelled_work_must_go(*machine, now)) why = cancelled_work;
+        // Cancelled work takes precedence over every other reason. During an outage of the store only this reason
+        // counts, even for machines with an earlier release or a termination notice, because either may still be
+        // running.
+        if (cancelled_work_at_risk(*machine, now)) why = cancelled_work;
         if (why) out.push_back({name, why});
     }
-    // In an outage nothing but cancelled work is released, and hundreds of silent machines must not delay it.
+    // During an outage of the store only machines with cancelled work are released. Hundreds of silent machines must
+    // not delay them.
     std::stable_partition(out.begin(), out.end(), [](const Release& r) { return r.why == cancelled_work; });
     if (out.size() > max_release) out.resize(max_release);
     return out;
 }
 
-// Many machines that are silent at once more likely mean that this controller is cut off than that all have died.
+// Counts silent machines: many at once more likely mean that this controller is cut off than that all have died.
 ScaleIn::Situation ScaleIn::assess(TimePoint now) const {
     Situation out{now, {}, fleet_.heartbeat_coverage(now).cut_off_from_workers(), fleet_.quiet_zones(now)};
     for (const auto& [name, machine] : state_.inventory.all()) {
@@ -56,7 +62,7 @@
     if (machine.releasing) return "again";
     if (machine.listed_failed) return "failed";
     if (machine.terminates_at && now > after(*machine.terminates_at, Seconds(1)) &&
-        Seconds(now - machine.last_report) > state_.settings.heartbeat_interval * notice_intervals)
+        Seconds(now - machine.last_report) > state_.settings.heartbeat_interval * termination_silence_intervals)
         return "taken";
     if (!machine.reported && machine.tasks.empty()) return never_came_up(machine, now) ? "never_up" : nullptr;
     return reason_of_reporting(machine, situation);
@@ -65,7 +71,7 @@
 const char* ScaleIn::reason_of_reporting(const Machine& machine, const Situation& situation) const {
     const auto now = situation.now;
     const Seconds silent_for = now - machine.last_report;
-    const auto limit = patience(machine, situation);
+    const auto limit = silence_timeout(machine, situation);
     if (silent_for > limit && now - state_.term_began > model::to_clock(std::min(limit, state_.settings.worker_lease)))
         return "silent";
     return idle(machine, now) ? "idle" : nullptr;
@@ -79,46 +85,47 @@
 bool ScaleIn::never_came_up(const Machine& machine, TimePoint now) const {
     const auto timeout = std::max(boot_time(machine) * state_.operator_settings.boot_timeout_factor, min_boot_timeout);
     return now - machine.known_since > model::to_clock(timeout) &&
-           now - state_.term_began > model::to_clock(state_.settings.heartbeat_interval * new_leader_intervals);
+           now - state_.term_began > model::to_clock(state_.settings.heartbeat_interval * new_term_intervals);
 }
 
 bool ScaleIn::idle(const Machine& machine, TimePoint now) const {
     if (!machine.tasks.empty() || machine.reported_tasks != 0) return false;
-    if (Seconds(now - machine.last_report) >= state_.settings.heartbeat_interval * lately_intervals) return false;
+    if (Seconds(now - machine.last_report) >= state_.settings.heartbeat_interval * idle_report_intervals) return false;
     if (machine.quarantined || machine.retiring || machine.cordoned) return true;
     const Seconds idle_for = now - machine.idle_since;
     return idle_for > machine.replacement_time(boot_time(machine)) * state_.operator_settings.idle_timeout_factor;
 }
 
-Seconds ScaleIn::patience(const Machine& machine, const Situation& situation) const {
+Seconds ScaleIn::silence_timeout(const Machine& machine, const Situation& situation) const {
     const auto& settings = state_.settings;
-    // What the cloud no longer lists is not silent because of this controller.
-    const bool many = situation.silent.at(machine.spot).many() && !machine.unlisted;
+    // A machine that the cloud no longer lists is not silent because of this controller.
+    const bool many = situation.silent.at(machine.spot).too_many_for_chance() && !machine.unlisted;
     Seconds out;
     if (many && situation.cut_off_from_workers) {
-        // While hardly anyone is heard, the term should pass to a controller that hears more: to release the whole
-        // fleet first would leave it nothing (inc-8739, inc-e02a).
+        // A leader that receives hardly any heartbeats should lose its term to a controller that receives more.
+        // Releasing the fleet first would leave that controller without machines (inc-8739, inc-e02a).
         out = settings.worker_lease * cut_off_leases;
     } else if (many) {
-        out = std::max(settings.worker_lease + lease_margin, listed_dead + settings.machine_list_lag * list_lags);
+        out = std::max(settings.worker_lease + lease_margin,
+                       death_listing_delay + settings.machine_list_lag * list_lag_factor);
     } else {
-        // Heartbeats come up to a quarter late, and one may be lost on the way.
+        // Heartbeats may be up to a quarter of an interval late, and one may be lost.
         const auto timeout =
             std::max(state_.operator_settings.silent_timeout, settings.heartbeat_interval * silent_intervals);
         out = std::min(timeout, settings.worker_lease);
     }
-    // Of a zone that is cut off nothing can be replaced there, and what its machines hold is worth a wait as long as it
-    // takes to have it again. Those that died are listed as such before.
+    // In a zone that is cut off no machine can be replaced, so its machines are kept for as long as replacing them and
+    // their images would take. Dead ones are released earlier, once they are listed as failed.
     const auto& quiet = situation.quiet_zones;
     if (!machine.unlisted && machine.row.zone < quiet.size() && quiet[machine.row.zone])
         out = std::max(out, settings.worker_lease + boot_time(machine) * quiet_zone_boots);
     return out;
 }
 
-// Cancelled work must be gone in time, whatever else is out of reach: a machine that hangs does not even end it when
-// its lease has expired. After half of the time the machine is given up once it has missed three heartbeats, and where
-// the time is nearly over, for a leader that came late, as soon as its heartbeat is overdue.
-bool ScaleIn::cancelled_work_must_go(const Machine& machine, TimePoint now) const {
+// Cancelled work must be gone before the cancel deadline, even if other services are unreachable. A machine that hangs
+// does not end the work when its lease expires. After half of the deadline the machine is released once it has missed
+// three heartbeats. Shortly before the deadline, for a leader that was elected late, one overdue heartbeat suffices.
+bool ScaleIn::cancelled_work_at_risk(const Machine& machine, TimePoint now) const {
     const auto& settings = state_.settings;
     const Seconds silent_for = now - machine.last_report;
     if (silent_for <= fleet_.heartbeat_overdue()) return false;
@@ -129,7 +136,7 @@
             now > after(job->cancelled_at, give_up_silent_after(settings)))
             return true;
         if (now >
-            after(job->cancelled_at, settings.cancel_deadline - settings.heartbeat_interval * 1.25 - release_time))
+            after(job->cancelled_at, settings.cancel_deadline - settings.heartbeat_interval * 1.25 - release_margin))
             return true;
     }
     return false;
--- a/src/scheduler/scale_out.cpp
+++ b/src/scheduler/scale_out.cpp
@@ -9,13 +9,15 @@
 using placement::JobHosts;
 
 namespace {
-constexpr int max_request = 50;           // machines per request, by the cloud's rules
-constexpr double bulk_exponent = 0.25;    // how a price per slot is discounted by the slots that services fill
-constexpr double idle_price_limit = 1.5;  // times the cheapest price of a slot that idle work may cost
-constexpr double late_boots = 1.6;        // times its boot after which a machine is not counted on any more
-constexpr int few_late = 3;               // machines of a pool that may be late by chance
-constexpr double late_cost = 2;           // times the price that a pool with late machines counts as
-constexpr double cheap_only_share = 0.5;  // of its time, for which an array waits for cheap machines
+constexpr int max_request = 50;         // limit of one call to the cloud
+constexpr double bulk_exponent = 0.25;  // discounts the price of a slot by the number of slots that services fill
+constexpr double idle_price_limit =
+    1.5;                                 // factor on the cheapest slot price up to which idle jobs may request machines
+constexpr double overdue_boots = 1.6;    // boot times after which a booting machine counts as overdue
+constexpr int min_overdue_machines = 3;  // minimum of overdue machines in a pool; fewer may be chance
+constexpr double overdue_price_factor = 2;  // factor on the price of a pool with overdue machines
+constexpr double cheap_only_share =
+    0.5;  // share of an array's target duration during which it waits for cheap machines
 }  // namespace
 
 std::vector<fleet::InstanceRequest> ScaleOut::run(TimePoint now) {
@@ -23,9 +25,10 @@
         fleet_.heartbeat_coverage(now).cut_off_from_workers())
         return {};
     Round round{now, fleet_.make_planner(now), {}, {}, {}, fleet_.quiet_zones(now), {}};
-    add_coming_machines(round);
+    add_expected_machines(round);
     const auto waiting = queue_.ordered(now, false);
-    // Services come one by one as well as many to a job: what counts is how many of a class wait together.
+    // Some classes have services of one task each, some have jobs of many. The number of waiting tasks per class covers
+    // both.
     for (const auto* job : waiting)
         if (job->is(JobKind::service) && !job->crash_looping())
             round.waiting_services[job->spec.job_class] += job->waiting();
@@ -36,30 +39,30 @@
     return out;
 }
 
-// Adds the machines that boot and those that are cordoned to the plan, and counts the machines of each zone.
-void ScaleOut::add_coming_machines(Round& round) const {
+// Adds booting and cordoned machines to the plan, and counts the machines of each zone.
+void ScaleOut::add_expected_machines(Round& round) const {
     struct Booting {
-        int late = 0, all = 0;
+        int overdue = 0, all = 0;
     };
     std::map<fleet::Pool, Booting> booting;
     for (const auto& [name, machine] : state_.inventory.all()) {
-        bool coming = !machine->reported && machine->tasks.empty();
-        if (const auto* type = state_.inventory.type(machine->type); coming && type) {
-            // What should long be up may never be: nothing waits for it. It is used all the same if it comes after all.
-            const bool late = round.now - machine->known_since > model::to_clock(type->boot * late_boots);
+        bool expected = !machine->reported && machine->tasks.empty();
+        if (const auto* type = state_.inventory.type(machine->type); expected && type) {
+            // An overdue machine may never come up, so no task waits for it. It is still used if it does come up.
+            const bool overdue = round.now - machine->known_since > model::to_clock(type->boot * overdue_boots);
             auto& count = booting[{machine->type, machine->zone, machine->spot}];
-            count.late += late;
+            count.overdue += overdue;
             ++count.all;
-            coming = !late;
+            expected = !overdue;
         }
-        if ((coming || machine->cordoned) && !machine->releasing && machine->row.capacity.cpus > 0)
+        if ((expected || machine->cordoned) && !machine->releasing && machine->row.capacity.cpus > 0)
             round.plan.add(machine->row);
         const auto zone = machine->row.zone;
         if (zone >= round.per_zone.size()) round.per_zone.resize(zone + 1);
         ++round.per_zone[zone];
     }
     for (const auto& [pool, count] : booting)
-        if (count.late >= few_late && count.late * 2 > count.all) round.late.insert(pool);
+        if (count.overdue >= min_overdue_machines && count.overdue * 2 > count.all) round.overdue.insert(pool);
 }
 
 void ScaleOut::request_for(const Job& job, Round& round) const {
@@ -72,7 +75,7 @@
     request_for_tasks(job, round);
 }
 
-// Room for a whole gang: all in one zone if it asks for that, with as many machines as it takes.
+// Requests machines until the whole gang fits, all in one zone if the gang requires that.
 void ScaleOut::request_for_gang(const Job& job, Round& round) const {
     const auto tasks = job.spec.tasks;
     if (demand_.within_quota(job, tasks) < tasks) return;
@@ -101,15 +104,15 @@
     const auto& ask = demand_.ask_of(job);
     auto hosts = demand_.hosts_of(job);
     auto count = demand_.within_quota(job, demand_.tasks_wanted_now(job));
-    auto& alike = round.waiting_services[job.spec.job_class];
+    auto& same_class_waiting = round.waiting_services[job.spec.job_class];
     const auto planned = [&](std::size_t n) {
         count -= static_cast<std::uint32_t>(n);
-        if (job.is(JobKind::service)) alike -= std::min(alike, static_cast<std::uint32_t>(n));
+        if (job.is(JobKind::service)) same_class_waiting -= std::min(same_class_waiting, static_cast<std::uint32_t>(n));
     };
-    // Many services together are worth large machines; if they were planned onto small ones that boot for others, those
-    // would only be requested again.
+    // Many services together justify large machines. If the plan put them on small machines that boot for other jobs,
+    // those jobs would request small machines again.
     std::optional<fleet::Pool> pool;
-    if (job.is(JobKind::service)) pool = cheapest(job, hosts, std::max(count, alike), round);
+    if (job.is(JobKind::service)) pool = cheapest(job, hosts, std::max(count, same_class_waiting), round);
     if (pool) {
         const auto slots = placement::slots(job.spec.need, state_.inventory.type(pool->type)->capacity);
         planned(round.plan.place_many(demand_.ask_for_slots(job, slots), hosts, count).size());
@@ -117,7 +120,7 @@
         planned(round.plan.place_many(ask, hosts, count).size());
     }
     while (count > 0) {
-        pool = cheapest(job, hosts, std::max(count, alike), round);
+        pool = cheapest(job, hosts, std::max(count, same_class_waiting), round);
         if (!pool) break;
         const auto placed = round.plan.place_at(add_machine(round, *pool), ask, hosts, count);
         if (placed == 0) break;
@@ -139,19 +142,20 @@
                     compare({job, hosts, count, type, slots}, {type.name, zone, spot}, round, best);
     }
     if (!best.pool) return std::nullopt;
-    // Idle work has no haste, and must not use up what others will want to request.
+    // Idle jobs are not urgent, and must not use up capacity that other jobs will request.
     if (job.priority == model::Priority::idle && best.cost.first > best.cheapest_slot * idle_price_limit)
         return std::nullopt;
-    // Tasks of an array can follow one another on cheap machines; costly ones are for those that wait too long.
+    // Tasks of an array can run one after another on cheap machines. Costly machines are requested only for arrays that
+    // have waited too long.
     if (job.is(JobKind::array) && best.cost.first > best.cheapest_slot * state_.operator_settings.array_price_limit &&
         round.now - job.arrived < model::to_clock(demand_.target_duration(job.spec) * cheap_only_share))
         return std::nullopt;
     return best.pool;
 }
 
-// Takes the pool for the best if it is open, and costs less than the best so far.
-void ScaleOut::compare(const Wish& wish, const fleet::Pool& pool, const Round& round, Offer& best) const {
-    const auto& [job, hosts, count, type, slots] = wish;
+// Makes the pool the best offer if it is open and cheaper than the best so far.
+void ScaleOut::compare(const PlacementNeed& need, const fleet::Pool& pool, const Round& round, Offer& best) const {
+    const auto& [job, hosts, count, type, slots] = need;
     const double used = std::min(slots, std::max(1u, count));
     const double price = (pool.spot ? type.spot_price : type.price) / std::max(1.0, used);
     if (best.cheapest_slot == 0 || price < best.cheapest_slot) best.cheapest_slot = price;
@@ -159,11 +163,11 @@
     const auto zone = state_.inventory.directory().zone(pool.zone);
     if (zone < round.quiet_zones.size() && round.quiet_zones[zone]) return;
     if (!suits_zone(job, hosts, zone)) return;
-    // Services stay for good: enough of them to fill a large machine are worth its higher price, for gangs need the
-    // small ones whole.
+    // Services run permanently, so enough of them to fill a large machine justify its higher price. Gangs need the
+    // small machines whole.
     const bool bulk = job.is(JobKind::service) && count >= slots;
-    const double raised = round.late.contains(pool) ? price * late_cost : price;
-    // Between equals, the zone with the fewest machines: the loss of one zone then costs least.
+    const double raised = round.overdue.contains(pool) ? price * overdue_price_factor : price;
+    // On equal prices the zone with the fewest machines wins, so that the loss of a zone costs least.
     const auto there = zone < round.per_zone.size() ? round.per_zone[zone] : 0;
     const Cost cost{bulk ? raised * std::pow(used, -bulk_exponent) : raised, there};
     if (best.pool && cost >= best.cost) return;
--- a/src/scheduler/scheduler_state.hpp
+++ b/src/scheduler/scheduler_state.hpp
@@ -1,5 +1,5 @@
-// What the parts of the scheduler share for one term. Each part holds a reference to it and owns what only it needs.
-// Plain data: the rules are in the parts.
+// The state that the parts of the scheduler share for one term. Each part holds a reference to it, and owns the state
+// that no other part needs. Plain data: the rules are in the parts.
 #pragma once
 #include <array>
 
@@ -16,7 +16,7 @@
 
 namespace flintdale::scheduler {
 
-// The time so many seconds later, in the clock's own resolution.
+// The time `s` after `t`, in the resolution of the clock.
 inline TimePoint after(TimePoint t, Seconds s) { return t + model::to_clock(s); }
 
 struct SchedulerState {
@@ -38,12 +38,12 @@
     placement::Rules rules;
 
     std::uint64_t term;
-    std::uint64_t term_revision;   // of the key of the term, on which every write is conditioned
-    TimePoint term_began;          // pauses of this process do not count
-    bool inherited_tasks = false;  // tasks were placed on record when this term began
-    // The records may lack the last placements, and not every machine has shown yet what it runs.
+    std::uint64_t term_revision;   // modification revision of the term's key; a condition of every write
+    TimePoint term_began;          // moved forward by pauses of this process
+    bool inherited_tasks = false;  // the records showed placed tasks when this term began
+    // The records may lack the last placements, and some machines have not yet reported their tasks under this term.
     bool awaiting_reconciliation = false;
-    TimePoint last_shortage{};  // when a job last found no room in its turn
+    TimePoint last_shortage{};  // when a job last found no room in a placement pass
 
     fleet::MachineInventory inventory;
     JobTable jobs;
@@ -51,7 +51,7 @@
     quota::QuotaAccounting quota;
     RecordQueue record_queue;
     RecordGarbage garbage;
-    std::array<std::size_t, 4> placed_array_tasks{};  // by the priority of the submission
+    std::array<std::size_t, 4> placed_array_tasks{};  // by the priority in the job's submission
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -8,18 +8,18 @@
 namespace flintdale::scheduler {
 
 namespace {
-constexpr Seconds calm{8};  // without a job that found no room, before spare room is counted
-// The ups and downs of the load in a fleet of n machines go by the root of n.
+constexpr Seconds no_shortage_time{8};  // time without a job that found no room, before spare capacity is measured
+// Load fluctuations in a fleet of n machines grow with the square root of n.
 constexpr double load_deviation = 2;
-constexpr std::size_t machines_per_cordon = 50;  // one more machine is cordoned at a time for each so many
+constexpr std::size_t machines_per_cordon = 50;  // fleet size for which one step cordons one machine more
 }  // namespace
 
-// The least loaded machine takes the next task, so that in a large fleet none ever gets empty by itself, however little
-// there is to do. Where more room has been spare for a while than the ups and downs of the load need, the machines that
-// cost most for what idles get no new work and are returned when they are empty.
+// New tasks go to the least loaded machine, so in a large fleet no machine becomes empty, however low the load is. If
+// the idle share has exceeded the wanted one for some time, the machines with the highest idle cost get no new tasks,
+// and are released when they are empty.
 void SpareCapacity::cordon_spare(TimePoint now) {
     if (state_.awaiting_reconciliation) return;
-    if (now < after(state_.last_shortage, calm)) {
+    if (now < after(state_.last_shortage, no_shortage_time)) {
         spare_since_ = now;
         return;
     }
@@ -32,7 +32,7 @@
         spare_since_ = now;
         return;
     }
-    // Where images take long, room is also what lets them be fetched side by side.
+    // If images take long to fetch, spare machines also allow parallel fetches, so they are kept for longer.
     std::erase_if(candidates, [&](const Candidate& candidate) {
         const auto own = candidate.machine->replacement_time(state_.inventory.type(candidate.machine->type)->boot);
         const auto wait = std::max(own, totals.replacement) * state_.operator_settings.spare_timeout_factor;
@@ -55,7 +55,7 @@
         out.price += price;
         out.waste += waste;
         out.replacement += machine->replacement_time(type->boot);
-        // Services do not end by themselves.
+        // Services do not end, so a machine that runs one would not become empty.
         if (machine->row.standing.cpus <= 0) candidates.push_back({waste, price, machine.get()});
     }
     if (out.machines) out.replacement /= static_cast<double>(out.machines);
--- a/src/scheduler/spare_capacity.hpp
+++ b/src/scheduler/spare_capacity.hpp
@@ -1,5 +1,5 @@
-// Cordons machines while more of the fleet is idle than the ups and downs of the load need: a cordoned machine gets no
-// new work and is returned once it is empty.
+// Cordons machines while the idle share of the fleet exceeds what load fluctuations require. A cordoned machine gets no
+// new tasks and is released once it is empty.
 #pragma once
 #include <vector>
 
@@ -13,18 +13,18 @@
         : state_(state), fleet_(fleet), spare_since_(now) {}
 
     void cordon_spare(TimePoint now);
-    // Room is wanted again.
+    // Makes all cordoned machines available again.
     void uncordon();
 
   private:
     struct Candidate {
-        double waste, price;  // what its idle part costs, and the whole machine
+        double waste, price;  // price of the idle part, and of the whole machine
         Machine* machine;
     };
-    // What the usable machines cost, and how much of that is idle.
+    // The price of all usable machines, and the part of it that is idle.
     struct Totals {
         double price = 0, waste = 0;
-        Seconds replacement{0};  // average time to have a machine's like again
+        Seconds replacement{0};  // average time to replace a machine
         std::size_t machines = 0;
     };
     Totals count(std::vector<Candidate>& candidates, TimePoint now) const;
@@ -32,7 +32,7 @@
 
     SchedulerState& state_;
     FleetView& fleet_;
-    TimePoint spare_since_;  // since when more has been idle than is wanted
+    TimePoint spare_since_;  // since when the idle share has exceeded the wanted one
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/summary.hpp
+++ b/src/scheduler/summary.hpp
@@ -1,4 +1,4 @@
-// One line on the state of the scheduler, for the debug log.
+// A one-line summary of the scheduler's state, for the debug log.
 #pragma once
 #include <string>
 
@@ -6,7 +6,7 @@
 
 namespace flintdale::scheduler {
 
-// The tasks that wait, by job class, and the machines of each pool with what they run.
+// The waiting tasks by job class, and the machines of each pool with their tasks.
 std::string summarize(const SchedulerState& state, const FleetView& fleet, TimePoint now);
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/task_transitions.cpp
+++ b/src/scheduler/task_transitions.cpp
@@ -9,7 +9,8 @@
 using State = Task::State;
 
 namespace {
-constexpr Seconds deferred_write{8};  // how long the record of ended tasks may wait for other changes of the job
+constexpr Seconds deferred_write{
+    8};  // maximum delay of the records of ended tasks, so that other changes of the job join the write
 }  // namespace
 
 void TaskTransitions::record_change(Job& job, std::uint32_t task, RecordUrgency urgency, TimePoint now) {
@@ -51,8 +52,8 @@
     t.run_sent = t.reported = t.started = t.draining = t.at_barrier = false;
     t.state = next;
     if (next == State::waiting) job.requeued.push_back(task);
-    // The end of a single task may be written late, for its worker repeats it until it is on record. Only the end of
-    // the whole job is written at once: otherwise every task of every array would cost a write of its own.
+    // The end of a single task may be recorded late, because its worker reports it until it is recorded. Only the end
+    // of the whole job is written at once. Otherwise every task of every array would need a write of its own.
     const auto left = job.spec.tasks - job.done - (next == State::done);
     const bool over = job.cancelled || job.finished ? job.placed == 0 : left == 0;
     record_change(job, task, over ? RecordUrgency::immediate : RecordUrgency::deferred, now);
@@ -62,7 +63,7 @@
 void TaskTransitions::lose(Job& job, std::uint32_t task, TimePoint now) {
     spdlog::debug("event=task_lost task={}/{} attempt={} machine={}", job.spec.uid, task, job.tasks[task].attempt,
                   job.tasks[task].machine ? job.tasks[task].machine->name : "");
-    // Members of a running gang notice the loss and exit. Before the start a replacement can complete the gang.
+    // Members of a running gang notice the loss and exit. Before the start, a replacement can complete the gang.
     if (job.is(model::JobKind::gang) && job.gang_started) job.gang_failing = true;
     leave(job, task, State::waiting, now);
 }
