--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// The dependency graph alone.
+// Tests of the dependency graph alone.
 #include "scheduler/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
@@ -80,16 +80,16 @@
     EXPECT_TRUE(graph.unknown().empty());
 }
 
-// Any order of changes leads to what a recount over all jobs would find.
+// After any sequence of changes the graph equals a recomputation over all jobs.
 TEST(DependencyGraphTest, AgreesWithARecountAfterAnySequenceOfEvents) {
     std::mt19937 random(7);
-    for (int day = 0; day < 200; ++day) {
-        struct Plain {
+    for (int round = 0; round < 200; ++round) {
+        struct ExpectedJob {
             Names needs;
             Priority priority;
             Status status = Status::open;
         };
-        std::map<std::string, Plain> jobs;
+        std::map<std::string, ExpectedJob> jobs;
         Names names, ready;
         DependencyGraph graph;
         const auto dependency_failed = [&](const auto& self, const std::string& uid) -> bool {
@@ -98,7 +98,7 @@
                     return true;
             return false;
         };
-        const auto lacks = [&](const std::string& uid) {
+        const auto has_open_dependencies = [&](const std::string& uid) {
             return std::any_of(jobs[uid].needs.begin(), jobs[uid].needs.end(),
                                [&](const auto& n) { return jobs[n].status != Status::done; });
         };
@@ -113,7 +113,7 @@
         for (int step = 0; step < 30; ++step) {
             if (names.empty() || random() % 2) {
                 const auto uid = "run-" + std::to_string(names.size());
-                Plain job{{}, static_cast<Priority>(random() % 4), Status::open};
+                ExpectedJob job{{}, static_cast<Priority>(random() % 4), Status::open};
                 for (const auto& n : names)
                     if (random() % 4 == 0) job.needs.push_back(n);
                 jobs[uid] = job;
@@ -123,15 +123,15 @@
                 const auto& uid = names[random() % names.size()];
                 auto& job = jobs[uid];
                 if (job.status != Status::open) continue;
-                const bool done = random() % 3 && !lacks(uid);
+                const bool done = random() % 3 && !has_open_dependencies(uid);
                 job.status = done ? Status::done : Status::cancelled;
                 graph.closed(uid, done, 0);
             }
             for (const auto& uid : names) {
                 if (jobs[uid].status != Status::open) continue;
-                ASSERT_EQ(graph.waits(uid), lacks(uid)) << uid << " on day " << day;
+                ASSERT_EQ(graph.waits(uid), has_open_dependencies(uid)) << uid << " in round " << round;
                 if (!dependency_failed(dependency_failed, uid)) {
-                    ASSERT_EQ(graph.priority(uid), priority(priority, uid)) << uid << " on day " << day;
+                    ASSERT_EQ(graph.priority(uid), priority(priority, uid)) << uid << " in round " << round;
                 }
             }
         }
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -1,4 +1,4 @@
-// What the leader makes of rebuilt records: nothing is placed before the machines that may hold tasks were heard.
+// Placement with rebuilt records: no task is placed before the machines that may run it have reported.
 #include <gtest/gtest.h>
 
 #include "model/job.hpp"
@@ -8,94 +8,94 @@
 
 namespace flintdale::test {
 
-TEST(ReconciliationTest, NothingIsPlacedBeforeEveryMachineOnAFreshListReported) {
-    SchedulerHarness w;
-    w.elect();
-    w.leader->expect_unrecorded_tasks();
-    w.accept(job("run-1", model::JobKind::array, 2));
-    Worker heard, silent;
+TEST(ReconciliationTest, NoTaskIsPlacedBeforeEveryMachineOnAFreshListReported) {
+    SchedulerHarness harness;
+    harness.elect();
+    harness.leader->expect_unrecorded_tasks();
+    harness.accept(job("run-1", model::JobKind::array, 2));
+    Worker reporting, silent;
     silent.name = "n-000002";
     std::vector<model::ListedMachine> list;
-    for (const auto* m : {&heard, &silent})
+    for (const auto* m : {&reporting, &silent})
         list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
-    w.heartbeat(heard);
-    w.heartbeat(heard);
-    w.advance(Seconds(20));
-    EXPECT_FALSE(w.place()) << "no list has come yet";
-    w.leader->machines_listed(list, w.now);
-    EXPECT_FALSE(w.place()) << "the other machine may hold anything";
-    EXPECT_TRUE(w.leader->scale_out(w.now).empty());
-    w.heartbeat(silent);
-    EXPECT_FALSE(w.place()) << "its report is older than the answer that showed it this term";
-    w.heartbeat(silent);
-    w.heartbeat(heard);
-    EXPECT_TRUE(w.place());
-    EXPECT_FALSE(w.leader->awaiting_reconciliation());
+    harness.heartbeat(reporting);
+    harness.heartbeat(reporting);
+    harness.advance(Seconds(20));
+    EXPECT_FALSE(harness.place()) << "no list has come yet";
+    harness.leader->machines_listed(list, harness.now);
+    EXPECT_FALSE(harness.place()) << "the other machine may hold anything";
+    EXPECT_TRUE(harness.leader->scale_out(harness.now).empty());
+    harness.heartbeat(silent);
+    EXPECT_FALSE(harness.place()) << "its report is older than the answer that showed it this term";
+    harness.heartbeat(silent);
+    harness.heartbeat(reporting);
+    EXPECT_TRUE(harness.place());
+    EXPECT_FALSE(harness.leader->awaiting_reconciliation());
 }
 
-TEST(ReconciliationTest, MachineStillBootingAfterTheTermBeganHoldsNothing) {
-    SchedulerHarness w;
-    w.elect();
-    w.leader->expect_unrecorded_tasks();
-    w.accept(job("run-1", model::JobKind::array, 2));
-    Worker heard;
+TEST(ReconciliationTest, MachineStillBootingAfterTheTermBeganRunsNoTasks) {
+    SchedulerHarness harness;
+    harness.elect();
+    harness.leader->expect_unrecorded_tasks();
+    harness.accept(job("run-1", model::JobKind::array, 2));
+    Worker reporting;
     using model::MachineStatus;
     const auto list = [&](MachineStatus other) {
         return std::vector<model::ListedMachine>{
-            {heard.name, "", heard.type, heard.zone, false, MachineStatus::running, Seconds(60)},
-            {"n-000002", "", heard.type, heard.zone, false, other, Seconds(60)}};
+            {reporting.name, "", reporting.type, reporting.zone, false, MachineStatus::running, Seconds(60)},
+            {"n-000002", "", reporting.type, reporting.zone, false, other, Seconds(60)}};
     };
-    w.heartbeat(heard);
-    w.heartbeat(heard);
-    w.leader->machines_listed(list(MachineStatus::booting), w.now);
-    w.advance(Seconds(3));
-    w.heartbeat(heard);
-    EXPECT_FALSE(w.place()) << "that list may be older than this term, and the machine be up since";
-    w.advance(Seconds(20));
-    w.heartbeat(heard);
-    w.leader->machines_listed(list(MachineStatus::running), w.now);
-    EXPECT_FALSE(w.place()) << "it came up, nobody knows when";
-    w.leader->machines_listed(list(MachineStatus::booting), w.now);
-    EXPECT_TRUE(w.place());
-    EXPECT_FALSE(w.leader->awaiting_reconciliation());
+    harness.heartbeat(reporting);
+    harness.heartbeat(reporting);
+    harness.leader->machines_listed(list(MachineStatus::booting), harness.now);
+    harness.advance(Seconds(3));
+    harness.heartbeat(reporting);
+    EXPECT_FALSE(harness.place()) << "that list may be older than this term, and the machine be up since";
+    harness.advance(Seconds(20));
+    harness.heartbeat(reporting);
+    harness.leader->machines_listed(list(MachineStatus::running), harness.now);
+    EXPECT_FALSE(harness.place()) << "it came up, nobody knows when";
+    harness.leader->machines_listed(list(MachineStatus::booting), harness.now);
+    EXPECT_TRUE(harness.place());
+    EXPECT_FALSE(harness.leader->awaiting_reconciliation());
 }
 
 TEST(ReconciliationTest, JobWaitsOnlyForMachinesThatMayHoldItsTasks) {
-    SchedulerHarness w;
-    w.elect();
-    w.leader->expect_unrecorded_tasks();
-    Worker heard, silent;
+    SchedulerHarness harness;
+    harness.elect();
+    harness.leader->expect_unrecorded_tasks();
+    Worker reporting, silent;
     silent.name = "n-000002";
     silent.type = "large";
     auto anywhere = job("run-1", model::JobKind::array, 1);
     auto there = job("run-2", model::JobKind::array, 1);
-    there.types = std::vector<std::string>{heard.type};
-    w.accept(anywhere);
-    w.accept(there);
+    there.types = std::vector<std::string>{reporting.type};
+    harness.accept(anywhere);
+    harness.accept(there);
     std::vector<model::ListedMachine> list;
-    for (const auto* m : {&heard, &silent})
+    for (const auto* m : {&reporting, &silent})
         list.push_back({m->name, "", m->type, m->zone, false, model::MachineStatus::running, Seconds(60)});
-    w.heartbeat(heard);
-    w.heartbeat(heard);
-    w.advance(Seconds(20));
-    w.heartbeat(heard);
-    w.leader->machines_listed(list, w.now);
-    EXPECT_TRUE(w.place());
-    EXPECT_EQ(w.machine_of("run-2", 0), heard.name);
-    EXPECT_EQ(w.machine_of("run-1", 0), "") << "it may be on the other";
-    EXPECT_TRUE(w.leader->awaiting_reconciliation());
-    EXPECT_TRUE(w.leader->scale_out(w.now).empty());
+    harness.heartbeat(reporting);
+    harness.heartbeat(reporting);
+    harness.advance(Seconds(20));
+    harness.heartbeat(reporting);
+    harness.leader->machines_listed(list, harness.now);
+    EXPECT_TRUE(harness.place());
+    EXPECT_EQ(harness.machine_of("run-2", 0), reporting.name);
+    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "it may be on the other";
+    EXPECT_TRUE(harness.leader->awaiting_reconciliation());
+    EXPECT_TRUE(harness.leader->scale_out(harness.now).empty());
 }
 
-TEST(ReconciliationTest, LaterAttemptShownByAWorkerIsWhereTheTaskRuns) {
-    SchedulerHarness w;
-    w.elect();
-    w.accept(job("run-1", model::JobKind::array, 3));
-    // Of the placements that an earlier leader made, the records know nothing.
+TEST(ReconciliationTest, TaskWithALaterAttemptIsAdoptedOnTheReportingWorker) {
+    SchedulerHarness harness;
+    harness.elect();
+    harness.accept(job("run-1", model::JobKind::array, 3));
+    // The records lack the placements of an earlier leader.
     Worker m;
     m.type = "large";
-    w.elect();
-    w.leader->expect_unrecorded_tasks();
+    harness.elect();
+    harness.leader->expect_unrecorded_tasks();
     for (const std::uint32_t i : {0u, 2u}) {
         model::TaskReport t;
         t.id = {"run-1", i};
@@ -103,68 +103,68 @@
         t.status = TaskStatus::running;
         m.tasks.push_back(t);
     }
-    w.heartbeat(m, false);
-    EXPECT_EQ(w.machine_of("run-1", 0), "") << "a report that may be old proves nothing";
-    m.fencing_token = w.term;
-    const auto commands = w.heartbeat(m);
-    EXPECT_FALSE(w.has_command(commands, CommandType::kill, "run-1", 0));
-    EXPECT_EQ(w.machine_of("run-1", 0), m.name);
-    EXPECT_EQ(w.machine_of("run-1", 2), m.name);
-    w.commit();
-    w.advance(Seconds(20));
-    w.leader->machines_listed({}, w.now);
-    w.heartbeat(m);
-    ASSERT_TRUE(w.place());
-    EXPECT_NE(w.machine_of("run-1", 1), "");
+    harness.heartbeat(m, false);
+    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "a report that may be old proves nothing";
+    m.fencing_token = harness.term;
+    const auto commands = harness.heartbeat(m);
+    EXPECT_FALSE(harness.has_command(commands, CommandType::kill, "run-1", 0));
+    EXPECT_EQ(harness.machine_of("run-1", 0), m.name);
+    EXPECT_EQ(harness.machine_of("run-1", 2), m.name);
+    harness.commit();
+    harness.advance(Seconds(20));
+    harness.leader->machines_listed({}, harness.now);
+    harness.heartbeat(m);
+    ASSERT_TRUE(harness.place());
+    EXPECT_NE(harness.machine_of("run-1", 1), "");
     EXPECT_EQ(m.find("run-1", 0)->attempt, 4u);
-    // The next leader finds them where they are.
-    w.elect();
-    EXPECT_EQ(w.machine_of("run-1", 2), m.name);
+    // The next leader loads the adopted tasks from the records.
+    harness.elect();
+    EXPECT_EQ(harness.machine_of("run-1", 2), m.name);
 }
 
 TEST(ReconciliationTest, OrphanedTasksAreStoppedAndWaitedFor) {
-    SchedulerHarness w;
-    w.elect();
-    w.leader->expect_unrecorded_tasks();
+    SchedulerHarness harness;
+    harness.elect();
+    harness.leader->expect_unrecorded_tasks();
     Worker m;
     model::TaskReport t;
     t.id = {"run-9", 0};
     t.attempt = 2;
     t.status = TaskStatus::running;
     m.tasks.push_back(t);
-    w.heartbeat(m);
-    w.accept(job("run-9", model::JobKind::array, 1));  // submitted again, as a new job
-    w.advance(Seconds(20));
-    w.leader->machines_listed({}, w.now);
-    EXPECT_FALSE(w.place());
-    m.fencing_token = w.term;
-    w.heartbeat(m);
-    w.heartbeat(m);
-    EXPECT_TRUE(w.place());
-    EXPECT_TRUE(w.leader->take_loss_evidence() == false);
+    harness.heartbeat(m);
+    harness.accept(job("run-9", model::JobKind::array, 1));  // submitted again as a new job
+    harness.advance(Seconds(20));
+    harness.leader->machines_listed({}, harness.now);
+    EXPECT_FALSE(harness.place());
+    m.fencing_token = harness.term;
+    harness.heartbeat(m);
+    harness.heartbeat(m);
+    EXPECT_TRUE(harness.place());
+    EXPECT_TRUE(harness.leader->take_loss_evidence() == false);
 }
 
 TEST(ReconciliationTest, OnlyAnAttemptAboveTheRecordedOneIndicatesLoss) {
-    SchedulerHarness w;
-    w.elect();
-    w.accept(job("run-1", model::JobKind::array, 1));
-    w.settle();
+    SchedulerHarness harness;
+    harness.elect();
+    harness.accept(job("run-1", model::JobKind::array, 1));
+    harness.settle();
     Worker m;
-    w.heartbeat(m);
-    w.heartbeat(m);
-    ASSERT_TRUE(w.place());
-    w.heartbeat(m);
+    harness.heartbeat(m);
+    harness.heartbeat(m);
+    ASSERT_TRUE(harness.place());
+    harness.heartbeat(m);
     m.run_all();
-    w.heartbeat(m);
+    harness.heartbeat(m);
     Worker old = m;
     m.lose_lease();
-    w.heartbeat(m);
-    EXPECT_FALSE(w.leader->take_loss_evidence());
+    harness.heartbeat(m);
+    EXPECT_FALSE(harness.leader->take_loss_evidence());
     old.name = "n-000007";
     old.tasks[0].attempt = 9;
-    w.heartbeat(old);
-    EXPECT_TRUE(w.leader->take_loss_evidence());
-    EXPECT_FALSE(w.leader->take_loss_evidence()) << "it is told once";
+    harness.heartbeat(old);
+    EXPECT_TRUE(harness.leader->take_loss_evidence());
+    EXPECT_FALSE(harness.leader->take_loss_evidence()) << "it is told once";
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_cancellation_test.cpp
+++ b/tests/scheduler_cancellation_test.cpp
@@ -1,4 +1,4 @@
-// Cancelled work is gone before the cancel deadline.
+// Cancelled work must be gone before the cancel deadline.
 #include "scheduler/lease_rule.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -6,7 +6,7 @@
 
 using model::JobKind;
 
-TEST_F(SchedulerTest, CancelledTasksAreKilledAndIntentsNeverRun) {
+TEST_F(SchedulerTest, CancelledTasksAreKilledAndPlacementsNeverRun) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     ASSERT_TRUE(cancel("run-1"));
@@ -31,21 +31,23 @@
     accept(job("run-1", JobKind::array, 1));
     settle();
     report_twice(m1);
-    ASSERT_TRUE(cancel("run-1"));  // by another controller; the leader does not know
+    ASSERT_TRUE(cancel("run-1"));  // by another controller; the leader is not informed
     place();
     EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
 
 TEST_F(SchedulerTest, LeaderCutOffFromTheStoreStopsAnsweringInTime) {
     const auto known = now;
-    const auto room = settings.cancel_deadline - settings.worker_lease;  // a task dies a lease after the last answer
+    const auto room =
+        settings.cancel_deadline - settings.worker_lease;  // a task ends at the latest one lease after the last answer
     EXPECT_TRUE(scheduler::may_answer(settings, known + 10s, known));
     EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room), known));
     EXPECT_FALSE(scheduler::may_answer(settings, known + model::to_clock(room - Seconds(3)), known));
 }
 
-// Found by the simulator: a machine hung, the store was unreachable, and the leader after the outage counted the time
-// from the beginning of its own term. A machine that hangs does not end its work when its lease has expired.
+// A machine hung while the store was unreachable, and the leader elected after the outage counted the time since the
+// cancellation from the beginning of its own term (found by the simulator). A hanging machine does not end its work
+// when its lease expires.
 TEST_F(SchedulerTest, LateLeaderGivesUpAHangingMachineBeforeTheDeadline) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
@@ -68,20 +70,20 @@
     for (auto& w : others) report_twice(w);
     ASSERT_TRUE(cancel("run-1"));
     sync_job("run-1");
-    // All machines fall silent at once, which otherwise buys them patience.
-    std::vector<std::string> going;
+    // All machines fall silent at once, which normally extends the silence timeout.
+    std::vector<std::string> releases;
     const auto cancelled_at = now;
-    while (going.empty() && now < cancelled_at + model::to_clock(settings.cancel_deadline)) {
+    while (releases.empty() && now < cancelled_at + model::to_clock(settings.cancel_deadline)) {
         advance(1s);
-        going = machines_to_release();
+        releases = machines_to_release();
     }
-    ASSERT_FALSE(going.empty());
+    ASSERT_FALSE(releases.empty());
     EXPECT_LT(now, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
-    EXPECT_EQ(going.front(), "n-000001");
+    EXPECT_EQ(releases.front(), "n-000001");
 }
 
-// One call to the cloud takes a hundred machines, and in an outage only those with cancelled work may be released. In a
-// simulation 250 machines hung, and those with cancelled work came after a hundred others.
+// One call to the cloud releases at most 100 machines, and during an outage only those with cancelled work may be
+// released. In a simulation 250 machines hung, and those with cancelled work came after 100 others.
 TEST_F(SchedulerTest, HundredsOfSilentMachinesDoNotDelayOneWithCancelledWork) {
     elect();
     auto last = machine("n-900000", "a");
@@ -97,10 +99,10 @@
     std::optional<TimePoint> named, first;
     for (; now < cancelled_at + model::to_clock(settings.cancel_deadline); advance(1s)) {
         for (auto& w : others) heartbeat(w);
-        const auto going = leader->scale_in(now);
-        EXPECT_LE(going.size(), 100u);
-        if (!first && !going.empty()) first = now;
-        for (const auto& r : going)
+        const auto releases = leader->scale_in(now);
+        EXPECT_LE(releases.size(), 100u);
+        if (!first && !releases.empty()) first = now;
+        for (const auto& r : releases)
             if (r.machine == last.name && r.why == scheduler::cancelled_work && !named) named = now;
     }
     ASSERT_TRUE(first) << "the silent ones are to be returned as well";
@@ -108,7 +110,7 @@
     EXPECT_LT(*named, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
 }
 
-// A machine with a termination notice that falls silent need not be gone; it may hang.
+// A machine with a termination notice that falls silent may hang instead of being gone.
 TEST_F(SchedulerTest, SilentMachineWithATerminationNoticeIsReleasedForItsCancelledWork) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
@@ -117,9 +119,9 @@
     m1.termination_notice = Seconds(5);
     leader->handle_heartbeat(m1.report(), now);
     advance(Seconds(settings.cancel_deadline * 0.6));
-    const auto going = leader->scale_in(now);
-    ASSERT_EQ(going.size(), 1u);
-    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
+    const auto releases = leader->scale_in(now);
+    ASSERT_EQ(releases.size(), 1u);
+    EXPECT_EQ(releases[0].why, scheduler::cancelled_work);
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_gang_test.cpp
+++ b/tests/scheduler_gang_test.cpp
@@ -1,4 +1,4 @@
-// Gangs: placed together, restarted together.
+// Gangs are placed and restarted as a whole.
 #include "model/task.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -7,8 +7,8 @@
 using model::ExitReason;
 using model::JobKind;
 
-// Found by the simulator, seed 6027: the process crashed. One member of a gang reported that it was done, the other was
-// lost with its worker's lease before it could report.
+// One member of a gang reported that it was done; the other one was lost with its worker's lease before its report. The
+// process then crashed (simulator, seed 6027).
 TEST_F(SchedulerTest, GangWithADoneMemberPlacesOnlyTheOthersAgain) {
     elect();
     accept(job("run-1", JobKind::gang, 2));
@@ -24,7 +24,7 @@
         heartbeat(m1);
         place();
         const auto* gang = leader->job("run-1");
-        if (!gang) break;  // done, and on record
+        if (!gang) break;  // the job is done and recorded
         EXPECT_EQ(gang->placed + gang->done, 2u);
         EXPECT_EQ(gang->waiting(), 0u);
         EXPECT_GE(gang->done, 1u);
@@ -35,7 +35,7 @@
     elect();
     auto third = machine("n-000003", "b");
     auto gang = job("run-1", JobKind::gang, 2);
-    gang.need = {8, 2, 40};  // a whole machine each
+    gang.need = {8, 2, 40};  // each task needs a whole machine
     accept(gang);
     settle();
     report_twice(m1);
@@ -71,9 +71,9 @@
     EXPECT_EQ(leader->job("run-1")->tasks[1].attempt, 2u);
 }
 
-// On slow networks some members of a gang have their image a minute before others. Killing the whole attempt when the
-// first gave up waiting repeatedly discarded the fetches of the slow ones: it took 350 s until a gang started.
-TEST_F(SchedulerTest, GangMemberThatGaveUpWaitingKeepsItsPlaceUntilOthersHaveTheirImage) {
+// On slow networks some members of a gang have their image a minute before the rest. Ending the whole attempt when the
+// first member gave up waiting discarded the fetches of the slow ones repeatedly, and a gang needed 350 s to start.
+TEST_F(SchedulerTest, GangMemberThatGaveUpWaitingKeepsItsRoomUntilAllHaveTheirImage) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
@@ -105,9 +105,9 @@
     EXPECT_EQ(leader->job("run-1")->members_at_barrier, 0u);
 }
 
-// scenarios/teams.toml, seed 6: a member was lost and found no room, and the place that another one kept stayed empty
-// for over 90 s beside tasks that would have fitted.
-TEST_F(SchedulerTest, GangPlaceIsNotKeptForMembersThatFindNone) {
+// A member was lost and found no machine. The room reserved for another member stayed unused for over 90 s beside tasks
+// that would have fit (scenarios/teams.toml, seed 6).
+TEST_F(SchedulerTest, GangRoomIsReleasedWhenOtherMembersFindNoMachine) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
     gang.need = {8, 2, 40};
--- a/tests/scheduler_heartbeat_test.cpp
+++ b/tests/scheduler_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats and what they prove: leases, late copies, delayed answers.
+// Heartbeats as evidence: expired leases, late copies, delayed answers.
 #include <algorithm>
 
 #include "model/task.hpp"
@@ -13,14 +13,14 @@
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
-    for (int i = 0; i < 20; ++i) {  // a minute without a word from n-000001, far beyond its lease
+    for (int i = 0; i < 20; ++i) {  // n-000001 is silent for a minute, far beyond its lease
         advance(3s);
         heartbeat(m2);
         place();
         ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
     }
-    const auto going = machines_to_release();
-    ASSERT_EQ(std::count(going.begin(), going.end(), "n-000001"), 1);
+    const auto releases = machines_to_release();
+    ASSERT_EQ(std::count(releases.begin(), releases.end(), "n-000001"), 1);
     ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
     leader->machines_released({"n-000001"}, now);
     ASSERT_TRUE(place());
@@ -28,12 +28,12 @@
     EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now)) << "a late report of a released machine is not believed";
 }
 
-TEST_F(SchedulerTest, NextLeaderFindsTheIntentOfOneThatDiedBeforeItsRunCommand) {
+TEST_F(SchedulerTest, NextLeaderLoadsAPlacementWhoseRunCommandWasNotSent) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
     report_twice(m1);
-    ASSERT_TRUE(place());  // on record for n-000001, and then the leader is gone
+    ASSERT_TRUE(place());  // recorded for n-000001; then the leader ends
     auto& next = elect();
     settle();
     report_twice(m2);
@@ -89,8 +89,9 @@
     EXPECT_LE(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
 }
 
-// Found by the simulator: a leader that gives up a placement before its run command was carried out records that some
-// seconds later, and places another task there at once. If it ends in between, the next one reads both placements.
+// A leader that abandons a placement before its run command was executed records that some seconds later, but places
+// another task in its room at once. If the leader ends in between, the next one reads both placements (found by the
+// simulator).
 TEST_F(SchedulerTest, AbandonedPlacementIsNotStartedByTheNextLeader) {
     elect();
     auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
@@ -104,7 +105,8 @@
     auto second = job("run-2", JobKind::array, 2);
     second.team = "limited";
     accept(second);
-    // What is on record at that moment of the first job, which is given up, and of the second, which took its place.
+    // The records at that moment: the first job still placed, although abandoned, and the second job placed in its
+    // room.
     state::Txn txn;
     auto record = keys.get("jobs/work/run-2").value.as_object();
     record["tasks"] = wire::ranges_to_record({{0, 1, 1, m2.name, false}});
@@ -131,8 +133,8 @@
     EXPECT_EQ(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
 }
 
-// Found by scenarios/meeting.toml, seed 1738: the first heartbeat that a new leader receives from a machine is a copy
-// from an earlier incarnation.
+// The first heartbeat that a new leader receives from a machine is a copy from an earlier incarnation (found by
+// scenarios/meeting.toml, seed 1738).
 TEST_F(SchedulerTest, CopyOfAHeartbeatFromAnEarlierIncarnationIsNoEvidence) {
     elect();
     report_twice(m1);
@@ -147,13 +149,13 @@
         << "it runs there, in the incarnation that this leader learns of only now";
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name);
-    // A session that ends under this term is evidence.
+    // An incarnation that ends under this term is evidence.
     m1.lose_lease();
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), "");
 }
 
-// In a large fleet some machine is always gone; waiting the whole round for it cost seconds in every failover.
+// In a large fleet some machine is always gone. Waiting the whole first round for it cost seconds in every failover.
 TEST_F(SchedulerTest, NewLeaderPlacesWhenNearlyAllMachinesWithWorkHaveReported) {
     elect();
     auto whole = job("run-1", JobKind::array, 20);
@@ -167,7 +169,7 @@
     ASSERT_TRUE(place());
     accept(job("run-2", JobKind::array, 1));
     elect();
-    report_twice(m1);  // it has room, and no work on record
+    report_twice(m1);  // it has room and no recorded tasks
     for (int i = 0; i < 18; ++i) heartbeat(workers[static_cast<std::size_t>(i)]);
     EXPECT_FALSE(place());
     heartbeat(workers[18]);
@@ -175,7 +177,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-// Commands travel in answers only. Where a heartbeat makes room, its own answer may still carry the next run command.
+// Commands are sent only in answers. If a heartbeat frees room, its own delayed answer may carry the next run command.
 TEST_F(SchedulerTest, DelayedResponseCarriesNewPlacementsUnlessANewerHeartbeatCame) {
     using ExpectedWork = scheduler::Scheduler::ExpectedWork;
     elect();
@@ -212,9 +214,9 @@
     EXPECT_TRUE(leader->pending_runs(report).empty());
 }
 
-// inc-d158: a leader was paused for 40 s, then found every machine silent and released them all, while its successor
-// was using them.
-TEST_F(SchedulerTest, PausedLeaderDoesNotBlameTheMachines) {
+// inc-d158: a leader was paused for 40 s, then found every machine silent and released them all while its successor was
+// using them.
+TEST_F(SchedulerTest, PausedLeaderDoesNotCountThePauseAsSilence) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     advance(40s);
--- a/tests/scheduler_placement_test.cpp
+++ b/tests/scheduler_placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks are placed, and in which order.
+// The machines that tasks are placed on, and the order of placement.
 #include "model/task.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -7,7 +7,7 @@
 using model::ExitReason;
 using model::JobKind;
 
-TEST_F(SchedulerTest, SpreadJobCountsLingeringTasks) {
+TEST_F(SchedulerTest, SpreadJobCountsTasksThatMayStillRun) {
     elect();
     auto third = machine("n-000003", "a");
     auto spread = job("run-1", JobKind::service, 2);
@@ -15,7 +15,7 @@
     start(spread, {&m1, &m2});
     ASSERT_NE(machine_of("run-1", 0), machine_of("run-1", 1));
     const std::uint32_t in_b = machine_of("run-1", 0) == "n-000002" ? 0 : 1;
-    m2.finish("run-1", in_b, ExitReason::stopped);  // zone b's replica ends, and zone b has no machine any more
+    m2.finish("run-1", in_b, ExitReason::stopped);  // the replica in zone b ends, and zone b loses its only machine
     heartbeat(m2);
     leader->machines_released({"n-000002"}, now);
     report_twice(third);
@@ -23,7 +23,7 @@
     EXPECT_EQ(machine_of("run-1", in_b), "");
 }
 
-TEST_F(SchedulerTest, OneZoneJobStaysWhereItsLingeringTasksAre) {
+TEST_F(SchedulerTest, OneZoneJobStaysInTheZoneOfTasksThatMayStillRun) {
     elect();
     auto together = job("run-1", JobKind::array, 3);
     together.one_zone = true;
@@ -38,10 +38,10 @@
 
 TEST_F(SchedulerTest, OnlyAllowedTypesZonesAndSpotKindsAreUsed) {
     elect();
-    auto picky = job("run-1", JobKind::array, 1);
-    picky.zone = "b";
-    picky.types = std::vector<std::string>{"small"};
-    accept(picky);
+    auto restricted = job("run-1", JobKind::array, 1);
+    restricted.zone = "b";
+    restricted.types = std::vector<std::string>{"small"};
+    accept(restricted);
     settle();
     auto spot = machine("n-000003", "b");
     spot.spot = true;
@@ -60,7 +60,7 @@
     auto long_job = job("run-2", JobKind::array, 1), short_job = job("run-3", JobKind::array, 1);
     long_job.estimated_runtime = Seconds(600);
     long_job.accepted_ms = 1'000;
-    short_job.accepted_ms = 21'000;  // some windows later
+    short_job.accepted_ms = 21'000;  // some batching windows later
     accept(long_job);
     settle();
     EXPECT_FALSE(place());
@@ -75,7 +75,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "");
 }
 
-// Arrays occupied the small on-demand machines that suit gangs, for which large ones were launched meanwhile.
+// Arrays occupied small on-demand machines that suit gangs, so large ones were launched for the gangs.
 TEST_F(SchedulerTest, SpotArrayLeavesOnDemandMachinesToAWaitingGangForHalfItsTime) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
@@ -133,7 +133,7 @@
     heartbeat(m1);
     heartbeat(m2);
     ASSERT_EQ(machine_of("run-2", 0), "n-000002");
-    heartbeat(m2);  // both fetch the image, and n-000002 has it first
+    heartbeat(m2);  // both machines fetch the image; n-000002 has it first
     m2.run_all();
     heartbeat(m2);
     leader->relocate(now);
@@ -145,12 +145,12 @@
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
 }
 
-TEST_F(SchedulerTest, MachineThatFailsSeveralJobsIsQuarantinedButABadJobSpoilsNone) {
+TEST_F(SchedulerTest, CrashLoopingJobQuarantinesNoMachine) {
     elect();
     std::vector<Worker> all;
     for (int i = 1; i < 6; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) report_twice(w);
-    accept(job("run-bad", JobKind::array, 1));  // fails wherever it is put
+    accept(job("run-bad", JobKind::array, 1));  // fails on every machine
     settle();
     for (int round = 0; round < 5; ++round) {
         advance(90s);
@@ -168,9 +168,9 @@
     EXPECT_EQ(leader->running_machines(now), all.size());
 }
 
-// Jobs submitted with a mistake were tried with all their tasks again and again, and machines were launched for each,
-// until their users cancelled them.
-TEST_F(SchedulerTest, CrashLoopingJobIsTriedWithOneTaskAndCostsNothingUntilOneSucceeds) {
+// Jobs submitted with a mistake were retried with all their tasks, and machines were launched for each retry, until
+// their users cancelled them.
+TEST_F(SchedulerTest, CrashLoopingJobIsRetriedWithOneTaskAndLaunchesNoMachineUntilOneSucceeds) {
     elect();
     report_twice(m1);
     report_twice(m2);
--- a/tests/scheduler_preemption_test.cpp
+++ b/tests/scheduler_preemption_test.cpp
@@ -1,12 +1,12 @@
-// Which tasks are stopped to make room for others.
+// The tasks that are preempted to make room for others.
 #include "support/scheduler_fixture.hpp"
 
 namespace flintdale::test {
 
 using model::JobKind;
 
-// Fetching an image where there is room may take minutes; stopping a task that saves its progress, where the image is,
-// takes seconds.
+// Fetching the image on a machine with room may take minutes. Stopping a task that saves its progress on a machine with
+// the image takes seconds.
 TEST_F(SchedulerTest, CriticalReplicaPreemptsAnArrayTaskWhereItsImageIs) {
     fill_with_image();
     ASSERT_EQ(machine_of("run-2", 0), "n-000001");
@@ -45,7 +45,7 @@
     }
     critical.priority = model::Priority::critical;
     accept(critical);
-    place();  // found no room
+    place();  // finds no room
     place();
     std::vector<Command> commands = heartbeat(m1);
     const int kills =
@@ -57,7 +57,7 @@
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
 }
 
-// One team's idle tasks occupied the processors of every machine for minutes, and gangs, which need whole machines,
+// Idle-priority tasks of one team occupied the CPUs of every machine for minutes, while gangs that need whole machines
 // waited beside thousands of unused accelerators.
 TEST_F(SchedulerTest, PreemptionOfIdleTasksServesAWholeGangOrNothing) {
     elect();
--- a/tests/scheduler_records_test.cpp
+++ b/tests/scheduler_records_test.cpp
@@ -1,4 +1,4 @@
-// What is on record before it is acted on, and conflicting writes.
+// Records are written before the leader acts on them, and conflicting writes are detected.
 #include "model/task.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -7,7 +7,7 @@
 using model::ExitReason;
 using model::JobKind;
 
-TEST_F(SchedulerTest, NoRunCommandLeavesBeforeItsIntentIsOnRecord) {
+TEST_F(SchedulerTest, RunCommandIsSentOnlyAfterItsPlacementIsRecorded) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -31,19 +31,19 @@
     EXPECT_TRUE(keys.get("jobs/work/run-1").value.as_object().at("tasks").as_array().empty());
 }
 
-// A write that got no answer may be carried out after newer ones of the same leader, which the term alone does not
-// order.
+// A write without an answer may be executed after newer writes of the same leader. The condition on the term does not
+// prevent that.
 TEST_F(SchedulerTest, LateWriteOfTheSameTermDoesNotUndoANewerOne) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
     report_twice(m1);
     ASSERT_TRUE(leader->place(now));
-    const auto late = leader->next_batch(100, wall_ms);  // places it on the first machine, and gets no answer
+    const auto late = leader->next_batch(100, wall_ms);  // places the task on the first machine; the answer is lost
     ASSERT_FALSE(late.empty());
     for (const auto& key : late.keys) leader->record_reread(keys.get(key), now);
     leader->batch_failed(late);
-    // That machine is returned, and the task placed on another.
+    // The first machine is released, and the task is placed on the second.
     leader->machines_released({m1.name}, now);
     settle();
     report_twice(m2);
@@ -53,7 +53,8 @@
     EXPECT_TRUE(on_record("run-1", m2.name));
 }
 
-// It may also be carried out between the reread and the retry: the retry then fails, reads again, and succeeds.
+// The late write may also be executed between the reread and the retry. The retry then fails, rereads the record and
+// succeeds.
 TEST_F(SchedulerTest, LateWriteBeforeTheNextTryIsReadAgain) {
     elect();
     accept(job("run-1", JobKind::array, 1));
@@ -69,7 +70,7 @@
     ASSERT_TRUE(leader->place(now));
     EXPECT_EQ(keys.commit(late.txn).outcome, state::Outcome::ok);
     ASSERT_TRUE(on_record("run-1", m1.name));
-    // Nothing may start on the second machine before the record names it.
+    // No task may start on the second machine before the record names that machine.
     EXPECT_FALSE(has_command(heartbeat(m2), CommandType::run, "run-1", 0));
     commit();
     EXPECT_TRUE(on_record("run-1", m2.name));
@@ -97,8 +98,8 @@
     EXPECT_EQ(state_of("run-1"), "done");
 }
 
-// The watch for new jobs shows the leader's own writes as well, and may show them late.
-TEST_F(SchedulerTest, LateReadOfItsRecordDoesNotBringAJobBack) {
+// The watch for new jobs also delivers the leader's own writes, possibly late.
+TEST_F(SchedulerTest, LateReadOfItsRecordDoesNotReopenAJob) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     const auto written = keys.get("jobs/work/run-1");
@@ -109,7 +110,7 @@
     ASSERT_EQ(leader->job("run-1"), nullptr);
     EXPECT_FALSE(leader->job_changed(written, now));
     EXPECT_EQ(leader->job("run-1"), nullptr);
-    // And where the record has not been removed yet, the next leader sees that the job is over.
+    // If the record has not been removed yet, the next leader recognises that the job is over.
     keys.commit({{}, {{written.key, written.value, 0}}});
     elect();
     ASSERT_NE(leader->job("run-1"), nullptr) << "its task may be on the machine that the record names";
@@ -121,7 +122,7 @@
     EXPECT_EQ(keys.get("jobs/work/run-1").mod_revision, 0u);
 }
 
-TEST_F(SchedulerTest, CancellationAndLastExitRaceAndOneWins) {
+TEST_F(SchedulerTest, CancellationAndCompletionRaceForOneOutcome) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
@@ -139,21 +140,21 @@
     EXPECT_EQ(state_of("run-2"), "done");
 }
 
-TEST_F(SchedulerTest, WorkerForgetsAnOutcomeOnlyOnceItIsOnRecord) {
+TEST_F(SchedulerTest, WorkerClearsAnExitedTaskOnlyOnceItIsRecorded) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
     heartbeat(m1);
     EXPECT_FALSE(has_command(heartbeat(m1), CommandType::clear, "run-1", 0));
-    elect();  // the leader dies without having written it: the worker still tells
+    elect();  // the leader ends before its write; the worker still reports the exit
     report_twice(m1);
     EXPECT_EQ(leader->count("run-1")->done, 1u);
     settle();
-    place();  // puts on record what is due
+    place();  // writes the deferred records that are due
     EXPECT_TRUE(has_command(heartbeat(m1), CommandType::clear, "run-1", 0));
 }
 
-// With thousands of tasks ending all the time, a write for each would leave none for users and placements.
+// With thousands of tasks ending all the time, one write for each would leave no writes for users and placements.
 TEST_F(SchedulerTest, FinishedTasksShareAWriteAndTheLastOneIsWrittenAtOnce) {
     elect();
     start(job("run-1", JobKind::array, 2), {&m1});
@@ -166,8 +167,8 @@
     EXPECT_EQ(state_of("run-1"), "done");
 }
 
-TEST_F(SchedulerTest, AcceptedWorkOutlivesEveryController) {
-    accept(job("run-1", JobKind::array, 1));  // no leader was there to hear of it
+TEST_F(SchedulerTest, JobAcceptedWithoutALeaderIsPlacedByTheNextOne) {
+    accept(job("run-1", JobKind::array, 1));  // there is no leader
     elect();
     settle();
     report_twice(m1);
--- a/tests/scheduler_scaling_test.cpp
+++ b/tests/scheduler_scaling_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are requested and released.
+// The machines that are requested and released.
 #include "model/machine.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -6,7 +6,7 @@
 
 using model::JobKind;
 
-// The call may go unanswered, and the store be unreachable by then: the reason is still that the machine runs cancelled
+// The release call may go unanswered, and the store may be unreachable by then. The reason must still be the cancelled
 // work.
 TEST_F(SchedulerTest, UnansweredReleaseIsRequestedAgainForTheSameReason) {
     elect();
@@ -14,18 +14,18 @@
     ASSERT_TRUE(cancel("run-1"));
     sync_job("run-1");
     advance(Seconds(settings.cancel_deadline * 0.6));
-    auto going = leader->scale_in(now);
-    ASSERT_EQ(going.size(), 1u);
-    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
-    leader->release_requested(going);
+    auto releases = leader->scale_in(now);
+    ASSERT_EQ(releases.size(), 1u);
+    EXPECT_EQ(releases[0].why, scheduler::cancelled_work);
+    leader->release_requested(releases);
     advance(2s);
-    going = leader->scale_in(now);
-    ASSERT_EQ(going.size(), 1u);
-    EXPECT_EQ(going[0].why, scheduler::cancelled_work);
+    releases = leader->scale_in(now);
+    ASSERT_EQ(releases.size(), 1u);
+    EXPECT_EQ(releases[0].why, scheduler::cancelled_work);
 }
 
-// A new leader counted the initial machines as spare for a long time, and released 66 before the first job.
-TEST_F(SchedulerTest, SpareMachinesGoOnlyAfterBeingSpareForAWhileUnderThisLeader) {
+// A new leader treated the initial machines as spare for a long time, and released 66 before the first job.
+TEST_F(SchedulerTest, SpareMachinesAreReleasedOnlyAfterTheSpareTimeoutOfThisTerm) {
     elect();
     std::vector<Worker> workers;
     for (int i = 0; i < 20; ++i)
@@ -37,7 +37,7 @@
     all_report();
     leader->relocate(now);
     EXPECT_TRUE(machines_to_release().empty());
-    for (int i = 0; i < 9; ++i) {  // 27 s, less than a boot
+    for (int i = 0; i < 9; ++i) {  // 27 s, less than the boot time
         advance(3s);
         all_report();
         leader->relocate(now);
@@ -51,9 +51,9 @@
     EXPECT_FALSE(machines_to_release().empty());
 }
 
-TEST_F(SchedulerTest, UnexpectedMachineIsUsedOrReturned) {
+TEST_F(SchedulerTest, UnexpectedMachineIsUsedOrReleased) {
     elect();
-    report_twice(m1);  // a late rental of a leader that is gone
+    report_twice(m1);  // launched late, for an earlier leader
     settle();
     accept(job("run-1", JobKind::array, 1));
     settle();
@@ -69,7 +69,7 @@
     EXPECT_EQ(machines_to_release(), std::vector<std::string>{"n-000009"});
 }
 
-// inc-8739, inc-e02a: a leader that lost the workers alone released the whole fleet, and launched it again.
+// inc-8739, inc-e02a: a leader that received no heartbeats released the whole fleet, and launched it again.
 TEST_F(SchedulerTest, LeaderWithoutHeartbeatsKeepsTheFleetUntilAnotherMayLead) {
     elect();
     std::vector<Worker> all;
@@ -86,7 +86,7 @@
     }
 }
 
-// With a zone cut off for 30 s, half the fleet was released 5 s before it could report again.
+// A zone was cut off for 30 s, and half the fleet was released 5 s before it could report again.
 TEST_F(SchedulerTest, ManySilentButListedMachinesGetTheListLag) {
     settings.machine_list_lag = Seconds(10);
     elect();
@@ -102,9 +102,9 @@
     EXPECT_LT(now, cut + 50s);
 }
 
-// Machines that the leader before had released stayed in the records, and because they were many their successor waited
-// a lease for each of them.
-TEST_F(SchedulerTest, ManySilentUnlistedMachinesAreGivenUpAtOnce) {
+// Machines that the previous leader had released remained in the records. Because they were many, the next leader
+// waited one lease for each of them.
+TEST_F(SchedulerTest, ManySilentUnlistedMachinesAreReleasedAtOnce) {
     elect();
     std::vector<Worker> all;
     std::vector<model::ListedMachine> list;
@@ -114,7 +114,7 @@
             list.push_back({all.back().name, "", "small", "a", false, model::MachineStatus::running, Seconds(60)});
     }
     for (auto& w : all) report_twice(w);
-    for (int i = 0; i < 5; ++i) {  // half of them say nothing any more
+    for (int i = 0; i < 5; ++i) {  // half of the machines are silent
         advance(3s);
         for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
     }
@@ -123,12 +123,12 @@
     EXPECT_EQ(machines_to_release(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
 }
 
-// Tasks that waited for machines that were late or never came up waited in vain.
-TEST_F(SchedulerTest, OverdueMachineIsNotCountedOnAndItsPoolIsTheSecondChoice) {
+// Tasks kept waiting for machines that were late or never came up.
+TEST_F(SchedulerTest, OverdueMachinesAreReplacedFromAnotherPoolAndStillUsed) {
     elect();
     auto wanted = job("run-1", JobKind::gang, 3);
     wanted.one_zone = true;
-    wanted.need = {8, 2, 40};  // a whole small machine each
+    wanted.need = {8, 2, 40};  // each task needs a whole small machine
     accept(wanted);
     const auto commands = leader->scale_out(now);
     ASSERT_EQ(commands.size(), 1u);
@@ -140,7 +140,7 @@
     const auto again = leader->scale_out(now);
     ASSERT_FALSE(again.empty());
     EXPECT_NE(again[0].pool, commands[0].pool);
-    for (const auto* name : {"n-000001", "n-000002", "n-000003"}) {  // late, but there
+    for (const auto* name : {"n-000001", "n-000002", "n-000003"}) {  // late, but up
         auto w = machine(name, commands[0].pool.zone, commands[0].pool.type);
         report_twice(w);
     }
--- a/tests/support/scheduler_fixture.hpp
+++ b/tests/support/scheduler_fixture.hpp
@@ -1,4 +1,4 @@
-// The fixture of the scheduler tests.
+// Fixture of the scheduler tests.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 namespace flintdale::test {
 
-// A worker of that zone and type that has not reported yet.
+// A worker in that zone, on a machine of that type, before its first heartbeat.
 inline Worker machine(const std::string& name, const std::string& zone, const std::string& type = "small") {
     Worker w;
     w.name = name;
@@ -23,8 +23,8 @@
 struct SchedulerTest : ::testing::Test, SchedulerHarness {
     Worker m1 = machine("n-000001", "a"), m2 = machine("n-000002", "b");
 
-    // Two heartbeats: the answer to the first shows the worker the term, and only then is a task that the second does
-    // not show really missing.
+    // Sends two heartbeats. The answer to the first one carries the term. Only then does the second heartbeat prove
+    // that a task that it does not report is missing.
     void report_twice(Worker& w) {
         heartbeat(w);
         heartbeat(w);
@@ -45,10 +45,10 @@
         auto s = job(uid, model::JobKind::service, 1);
         s.priority = model::Priority::critical;
         s.image = "big";
-        s.image_gb = 12;  // two minutes
+        s.image_gb = 12;  // two minutes of fetching
         return s;
     }
-    // n-000001 has that image, and no room but for an array's task that saves.
+    // n-000001 holds the image, and has room only if an array task that saves its progress is stopped.
     void fill_with_image() {
         elect();
         auto array = job("run-2", model::JobKind::array, 1);
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -10,7 +10,7 @@
 namespace flintdale::test {
 
 namespace {
-const bool quiet = [] { return spdlog::set_level(spdlog::level::off), true; }();
+const bool logging_disabled = [] { return spdlog::set_level(spdlog::level::off), true; }();
 }  // namespace
 
 config::Settings settings() {
@@ -147,11 +147,11 @@
     for (const auto& o : commands) {
         auto* t = find(o.id.uid, o.id.index);
         if (o.type == CommandType::run && !t) {
-            model::TaskReport fresh;
-            fresh.id = o.id;
-            fresh.attempt = o.attempt;
-            fresh.status = TaskStatus::fetching;
-            tasks.push_back(fresh);
+            model::TaskReport report;
+            report.id = o.id;
+            report.attempt = o.attempt;
+            report.status = TaskStatus::fetching;
+            tasks.push_back(report);
         } else if (o.type == CommandType::kill && t && t->attempt == o.attempt && t->status != TaskStatus::exited) {
             t->status = TaskStatus::exited;
             t->exit_reason = model::ExitReason::stopped;
@@ -238,7 +238,7 @@
         return true;
     }
     for (const auto& key : r.failed)
-        if (key == election::term_key) return false;  // another leads: nothing of this one counts any more
+        if (key == election::term_key) return false;  // another controller leads, so the batch is obsolete
     for (const auto& key : r.failed) leader->record_reread(keys.get(key), now);
     leader->batch_failed(batch);
     return true;
--- a/tests/support/scheduler_harness.hpp
+++ b/tests/support/scheduler_harness.hpp
@@ -1,5 +1,6 @@
-// A world in memory for the stories: a state service with conditions, a cloud, and workers with tokens, sessions
-// and lost or late messages. Time is a number that the story advances; nothing here waits or reads a clock.
+// An in-memory environment for scheduler tests: a state service with conditional transactions, a cloud, and workers
+// with fencing tokens, incarnations, and lost or late messages. The test advances the time; no function waits or reads
+// a clock.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -28,10 +29,10 @@
 model::JobSpec job(const std::string& uid, model::JobKind kind, std::uint32_t tasks);
 std::vector<model::MachineType> types();
 
-// The state service's keys.
+// The keys of the state service.
 class InMemoryStore {
   public:
-    // What a value and a transaction may hold; more is refused for good.
+    // Limits on a value and on a transaction. Larger transactions are rejected.
     std::size_t value_bytes = 64 * 1024, txn_ops = 1000;
     state::TxnResult commit(const state::Txn& txn);
     state::KeyValue get(const std::string& key) const;
@@ -43,7 +44,7 @@
     std::uint64_t revision_ = 0;
 };
 
-// A machine and the worker on it, by the protocol.
+// A machine and its worker, following the protocol.
 struct Worker {
     std::string name = "n-000001", type = "small", zone = "a";
     bool spot = false;
@@ -52,7 +53,7 @@
     std::vector<model::TaskReport> tasks;
 
     model::Heartbeat report();
-    // Carries out the orders of an answer with that token.
+    // Executes the commands of an answer with that fencing token; ignores them if the token is outdated.
     void apply_commands(const std::vector<Command>& commands, std::uint64_t answer_token);
     model::TaskReport* find(const std::string& uid, std::uint32_t index);
     void finish(const std::string& uid, std::uint32_t index, model::ExitReason exit_reason);
@@ -70,21 +71,22 @@
     std::int64_t wall_ms = 1'000'000;  // the time of day
     std::unique_ptr<Scheduler> leader;
 
-    // A new leader: raises the term, loads what is on record, and hears nothing yet.
+    // Starts a new leader: raises the term and loads the records. The leader has received no heartbeat yet.
     Scheduler& elect();
-    void accept(const model::JobSpec& spec);  // as any controller does, and the leader learns of it
-    bool cancel(const std::string& uid);      // likewise; false if it was too late
-    void sync_job(const std::string& uid);    // the leader learns what is on record of the job
-    // One report and its answer; the orders are carried out unless the answer is lost.
+    void accept(const model::JobSpec& spec);  // accepts the job as any controller does, and shows it to the leader
+    bool cancel(
+        const std::string& uid);  // as any controller; the leader is not informed; false if the job has an outcome
+    void sync_job(const std::string& uid);  // shows the job's records to the leader
+    // Sends one heartbeat and returns the commands of its answer, which the worker executes unless the answer is lost.
     std::vector<Command> heartbeat(Worker& w, bool answer_arrives = true);
-    void commit();                                                    // everything the leader wants on record
-    bool commit_one();                                                // one transaction of it; false if there is none
-    void read_missing();                                              // what the leader asks to be read
-    void lower_limits(std::size_t value_bytes, std::size_t txn_ops);  // as all controllers know the newest format
-    bool place();                                                     // place, and put it on record
-    std::vector<std::string> machines_to_release() const;             // the machines that the leader wants returned now
+    void commit();        // writes all changes of the leader's jobs
+    bool commit_one();    // writes one transaction of them; false if there is none
+    void read_missing();  // reads the keys that the leader asks for
+    void lower_limits(std::size_t value_bytes, std::size_t txn_ops);  // once all controllers know the newest format
+    bool place();                                                     // runs a placement pass and commits the records
+    std::vector<std::string> machines_to_release() const;             // the machines that the leader would release now
     void advance(Seconds s) { now += model::to_clock(s); }
-    // Far enough that windows have closed and a new leader has heard its round of reports.
+    // Advances the time until batching windows have closed and a new leader's first round of heartbeats is over.
     void settle() { advance(Seconds(10)); }
     std::string state_of(const std::string& uid) const;
     std::string machine_of(const std::string& uid, std::uint32_t task) const;
