--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -27,8 +27,8 @@
     EXPECT_TRUE(graph.waits("end"));
     EXPECT_EQ(graph.closed("right", true, 7).ready, Names{"end"});
     EXPECT_FALSE(graph.waits("end"));
-    EXPECT_EQ(graph.ready_at("end"), 9) << "the last of them counts";
-    EXPECT_TRUE(graph.closed("right", true, 8).empty()) << "the same change again is none";
+    EXPECT_EQ(graph.ready_at("end"), 9) << "the latest dependency counts";
+    EXPECT_TRUE(graph.closed("right", true, 8).empty()) << "a repeated change must have no effect";
 }
 
 TEST(DependencyGraphTest, CancelledJobFailsAllDependentsOnceNearestFirst) {
@@ -42,10 +42,11 @@
     EXPECT_TRUE(graph.closed("left", false, 0).dependency_failed.empty());
     EXPECT_FALSE(graph.waits("other"));
     EXPECT_EQ(graph.opened("late", Priority::normal, {"end"}).dependency_failed, Names{"late"})
-        << "it names what is about to be cancelled";
+        << "its dependency is about to be cancelled";
     graph.closed("end", false, 0);
     EXPECT_EQ(graph.opened("later", Priority::normal, {"end", "other"}).dependency_failed, Names{"later"});
-    EXPECT_TRUE(graph.closed("other", true, 0).ready.empty()) << "what is dependency_failed is never ready";
+    EXPECT_TRUE(graph.closed("other", true, 0).ready.empty())
+        << "a job with a failed dependency must never become ready";
 }
 
 TEST(DependencyGraphTest, JobInheritsTheHighestPriorityOfItsOpenDependents) {
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -80,7 +80,7 @@
         watch(settings.cancel_deadline);
     }
     std::optional<std::vector<Command>> answer_second_heartbeat(const model::Heartbeat& r) {
-        EXPECT_FALSE(follower.answer(r, now)) << "it may reach the leader, and is sent there first";
+        EXPECT_FALSE(follower.answer(r, now)) << "the first heartbeat must be redirected to the leader";
         return follower.answer(r, now);
     }
 };
@@ -152,7 +152,8 @@
     EXPECT_EQ(next.read(to_items(pages)).size(), 1500u);
     hints.resize(3);
     const auto fewer = next.pages(hints);
-    EXPECT_EQ(fewer.size(), pages.size()) << "one page, and the rest of the former leader's go";
+    EXPECT_EQ(fewer.size(), pages.size())
+        << "one page is rewritten, and the remaining pages of the former leader are deleted";
     EXPECT_FALSE(fewer.back().value);
 }
 
@@ -208,7 +209,7 @@
     fleet::MachineInventory inventory;
     inventory.set_types(types());
     inventory.recall({{"n-000001", {{"old", 5}, {"both", 5}}, true}});
-    EXPECT_EQ(inventory.find("n-000001"), nullptr) << "a note is no machine";
+    EXPECT_EQ(inventory.find("n-000001"), nullptr) << "a hint must not add a machine";
     auto& m = inventory.add("n-000001", "small", "a", false, TimePoint{1s});
     EXPECT_TRUE(m.quarantined);
     ASSERT_EQ(m.images.size(), 2u);
@@ -224,14 +225,14 @@
     spec.accepted_ms = harness.wall_ms;
     harness.accept(spec);
     harness.elect();
-    EXPECT_EQ(harness.leader->job("run-1")->arrived, harness.now) << "where the time of day is not given";
+    EXPECT_EQ(harness.leader->job("run-1")->arrived, harness.now) << "without the time of day the wait begins now";
     for (const std::int64_t at : {harness.wall_ms + 90'000, harness.wall_ms - 5'000}) {
         Scheduler next(harness.settings, harness.operator_settings, harness.record_format, 99, 1, harness.now);
         next.set_machine_types(types());
         next.load(harness.keys.range(scheduler::work_prefix), harness.now, at);
         const auto waited = harness.now - next.job("run-1")->arrived;
         EXPECT_EQ(waited, at > harness.wall_ms ? model::Clock::duration(90s) : model::Clock::duration(0))
-            << "a clock that runs behind makes nobody older";
+            << "a clock that runs behind must not change the wait";
     }
 }
 
@@ -251,7 +252,7 @@
     m2.tasks.at(0).status = TaskStatus::waiting;
     const auto report = m2.report();
     ASSERT_TRUE(harness.leader->handle_heartbeat(report, harness.now)->empty())
-        << "the new attempt is not on record yet";
+        << "the new attempt is not recorded yet";
     EXPECT_TRUE(harness.leader->pending_runs(report).empty());
     harness.commit();
     const auto commands = harness.leader->pending_runs(report);
@@ -279,7 +280,7 @@
 TEST_F(FollowerLeasesTest, WorkerThatTheLeaderDidNotAnswerKeepsItsLease) {
     const auto commands = answer_second_heartbeat(with_task("run-1"));
     ASSERT_TRUE(commands);
-    EXPECT_TRUE(commands->empty()) << "nothing is given to it, and nothing taken";
+    EXPECT_TRUE(commands->empty()) << "the answer must renew the lease without any command";
 }
 
 TEST_F(FollowerLeasesTest, StopsCancelledTasks) {
@@ -323,10 +324,10 @@
     elect();
     run_seconds(12, 0);
     run_seconds(25, 20);
-    EXPECT_EQ(count_releases("n-0002"), 0u) << "its leases may have run out, but what it holds is worth a wait";
+    EXPECT_EQ(count_releases("n-0002"), 0u) << "a silent zone must be kept although its leases may have expired";
     EXPECT_EQ(count_releases("n-0001"), 0u);
     run_seconds(70, 20);
-    EXPECT_GT(count_releases("n-0002"), 0u) << "not for ever";
+    EXPECT_GT(count_releases("n-0002"), 0u) << "the wait for a silent zone must end";
 }
 
 TEST_F(SilentZoneTest, ManyDeadMachinesAreNotAPartitionAndAreReleasedAtOnce) {
--- a/tests/reconciliation_test.cpp
+++ b/tests/reconciliation_test.cpp
@@ -21,12 +21,12 @@
     harness.heartbeat(reporting);
     harness.heartbeat(reporting);
     harness.advance(Seconds(20));
-    EXPECT_FALSE(harness.place()) << "no list has come yet";
+    EXPECT_FALSE(harness.place()) << "the cloud's list has not arrived yet";
     harness.leader->machines_listed(list, harness.now);
-    EXPECT_FALSE(harness.place()) << "the other machine may hold anything";
+    EXPECT_FALSE(harness.place()) << "the other machine may run any task";
     EXPECT_TRUE(harness.leader->scale_out(harness.now).empty());
     harness.heartbeat(silent);
-    EXPECT_FALSE(harness.place()) << "its report is older than the answer that showed it this term";
+    EXPECT_FALSE(harness.place()) << "the heartbeat was sent before its worker had seen this term";
     harness.heartbeat(silent);
     harness.heartbeat(reporting);
     EXPECT_TRUE(harness.place());
@@ -50,11 +50,11 @@
     harness.leader->machines_listed(list(MachineStatus::booting), harness.now);
     harness.advance(Seconds(3));
     harness.heartbeat(reporting);
-    EXPECT_FALSE(harness.place()) << "that list may be older than this term, and the machine be up since";
+    EXPECT_FALSE(harness.place()) << "the list may be older than this term, and the machine up since then";
     harness.advance(Seconds(20));
     harness.heartbeat(reporting);
     harness.leader->machines_listed(list(MachineStatus::running), harness.now);
-    EXPECT_FALSE(harness.place()) << "it came up, nobody knows when";
+    EXPECT_FALSE(harness.place()) << "the machine may have come up before the term began";
     harness.leader->machines_listed(list(MachineStatus::booting), harness.now);
     EXPECT_TRUE(harness.place());
     EXPECT_FALSE(harness.leader->awaiting_reconciliation());
@@ -82,7 +82,7 @@
     harness.leader->machines_listed(list, harness.now);
     EXPECT_TRUE(harness.place());
     EXPECT_EQ(harness.machine_of("run-2", 0), reporting.name);
-    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "it may be on the other";
+    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "the task may run on the other machine";
     EXPECT_TRUE(harness.leader->awaiting_reconciliation());
     EXPECT_TRUE(harness.leader->scale_out(harness.now).empty());
 }
@@ -104,7 +104,7 @@
         m.tasks.push_back(t);
     }
     harness.heartbeat(m, false);
-    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "a report that may be old proves nothing";
+    EXPECT_EQ(harness.machine_of("run-1", 0), "") << "a heartbeat from before this term is no evidence";
     m.fencing_token = harness.term;
     const auto commands = harness.heartbeat(m);
     EXPECT_FALSE(harness.has_command(commands, CommandType::kill, "run-1", 0));
@@ -164,7 +164,7 @@
     old.tasks[0].attempt = 9;
     harness.heartbeat(old);
     EXPECT_TRUE(harness.leader->take_loss_evidence());
-    EXPECT_FALSE(harness.leader->take_loss_evidence()) << "it is told once";
+    EXPECT_FALSE(harness.leader->take_loss_evidence()) << "evidence is returned only once";
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_cancellation_test.cpp
+++ b/tests/scheduler_cancellation_test.cpp
@@ -23,7 +23,7 @@
     sync_job("run-2");
     EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-2", 0));
     commit();
-    EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "nothing of a cancelled job stays open";
+    EXPECT_EQ(keys.get("jobs/work/run-2").mod_revision, 0u) << "the work record of a cancelled job must be removed";
 }
 
 TEST_F(SchedulerTest, NoPlacementIsRecordedForAJobCancelledElsewhere) {
@@ -56,7 +56,7 @@
     elect();
     leader->job_over("run-1", now, settings.cancel_deadline - 9s);
     heartbeat(m2);
-    EXPECT_TRUE(machines_to_release().empty()) << "it may only be late";
+    EXPECT_TRUE(machines_to_release().empty()) << "its heartbeat may only be late";
     advance(settings.heartbeat_interval * 1.25 + 1100ms);
     heartbeat(m2);
     EXPECT_EQ(machines_to_release(), std::vector<std::string>{m1.name});
@@ -105,7 +105,7 @@
         for (const auto& r : releases)
             if (r.machine == last.name && r.why == scheduler::cancelled_work && !named) named = now;
     }
-    ASSERT_TRUE(first) << "the silent ones are to be returned as well";
+    ASSERT_TRUE(first) << "the other silent machines must be released as well";
     ASSERT_TRUE(named);
     EXPECT_LT(*named, cancelled_at + model::to_clock(settings.cancel_deadline * 0.8));
 }
--- a/tests/scheduler_gang_test.cpp
+++ b/tests/scheduler_gang_test.cpp
@@ -39,7 +39,7 @@
     accept(gang);
     settle();
     report_twice(m1);
-    EXPECT_FALSE(place()) << "all or none";
+    EXPECT_FALSE(place()) << "one machine has room for one of two members only";
     report_twice(m2);
     ASSERT_TRUE(place());
     heartbeat(m1);
@@ -90,7 +90,7 @@
     heartbeat(m2);
     m1.finish("run-1", on_m1, ExitReason::gang_incomplete);
     heartbeat(m1);
-    EXPECT_TRUE(heartbeat(m2).empty()) << "it still fetches";
+    EXPECT_TRUE(heartbeat(m2).empty()) << "the member is still fetching its image";
     EXPECT_EQ(machine_of("run-1", on_m1), "n-000001");
     m2.find("run-1", on_m2)->status = TaskStatus::waiting;
     heartbeat(m2);
@@ -131,7 +131,7 @@
     advance(Seconds(20));
     heartbeat(m1);
     leader->relocate(now);
-    EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other may find a place soon";
+    EXPECT_EQ(machine_of("run-1", on_m1), "n-000001") << "the other member may find a machine within the timeout";
     advance(Seconds(15));
     heartbeat(m1);
     leader->relocate(now);
--- a/tests/scheduler_heartbeat_test.cpp
+++ b/tests/scheduler_heartbeat_test.cpp
@@ -17,15 +17,16 @@
         advance(3s);
         heartbeat(m2);
         place();
-        ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
+        ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence that the task is gone";
     }
     const auto releases = machines_to_release();
     ASSERT_EQ(std::count(releases.begin(), releases.end(), "n-000001"), 1);
-    ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
+    ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "an unconfirmed release is no evidence that the task is gone";
     leader->machines_released({"n-000001"}, now);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
-    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now)) << "a late report of a released machine is not believed";
+    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now))
+        << "a late heartbeat of a released machine must be ignored";
 }
 
 TEST_F(SchedulerTest, NextLeaderLoadsAPlacementWhoseRunCommandWasNotSent) {
@@ -37,7 +38,7 @@
     auto& next = elect();
     settle();
     report_twice(m2);
-    EXPECT_FALSE(place()) << "the task may be on n-000001";
+    EXPECT_FALSE(place()) << "the task may run on n-000001";
     auto commands = heartbeat(m1);
     EXPECT_FALSE(has_command(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
     commands = heartbeat(m1);
@@ -53,9 +54,9 @@
     ASSERT_TRUE(place());
     const auto old_report = m1.report();
     ASSERT_TRUE(has_command(heartbeat(m1, false), CommandType::run, "run-1", 0));
-    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0)) << "the first answer was lost";
     heartbeat(m1);
-    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "a report from before must not undo what is known";
+    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "an older heartbeat must not revert newer state";
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
@@ -146,7 +147,7 @@
     leader->handle_heartbeat(copy, now);
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name)
-        << "it runs there, in the incarnation that this leader learns of only now";
+        << "the task runs there in the newer incarnation, which this leader did not know before";
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name);
     // An incarnation that ends under this term is evidence.
@@ -193,12 +194,13 @@
     EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::placement);
     ASSERT_TRUE(leader->place(now));
     EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::record_write);
-    EXPECT_TRUE(leader->pending_runs(report).empty()) << "not on record yet";
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "the placement is not recorded yet";
     commit();
     const auto newer = m1.report();
     leader->handle_heartbeat(newer, now);
-    EXPECT_TRUE(leader->pending_runs(report).empty()) << "that answer would come too late";
-    EXPECT_EQ(leader->expected_work(newer, passes), ExpectedWork::none) << "the newer report's answer has it";
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "the answer to an older heartbeat must not carry the command";
+    EXPECT_EQ(leader->expected_work(newer, passes), ExpectedWork::none)
+        << "the answer to the newer heartbeat carries the command";
 }
 
 TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
@@ -223,7 +225,7 @@
     leader->process_paused(40s);
     EXPECT_TRUE(machines_to_release().empty());
     advance(40s);
-    EXPECT_FALSE(machines_to_release().empty()) << "real silence still counts";
+    EXPECT_FALSE(machines_to_release().empty()) << "silence after the pause must count";
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_placement_test.cpp
+++ b/tests/scheduler_placement_test.cpp
@@ -19,7 +19,7 @@
     heartbeat(m2);
     leader->machines_released({"n-000002"}, now);
     report_twice(third);
-    EXPECT_FALSE(place()) << "zone a may hold one of two";
+    EXPECT_FALSE(place()) << "zone a may hold only one of two replicas";
     EXPECT_EQ(machine_of("run-1", in_b), "");
 }
 
@@ -32,7 +32,7 @@
     for (int i = 0; i < 10; ++i) {
         advance(3s);
         report_twice(m2);
-        EXPECT_FALSE(place()) << "two tasks may still be in zone a";
+        EXPECT_FALSE(place()) << "two tasks may still run in zone a";
     }
 }
 
@@ -83,7 +83,7 @@
     accept(gang);
     settle();
     report_twice(m1);
-    EXPECT_FALSE(place()) << "it needs two machines";
+    EXPECT_FALSE(place()) << "the gang needs two machines";
     auto array = job("run-2", JobKind::array, 1);
     array.spot = true;
     array.deadline = Seconds(60);
@@ -96,11 +96,11 @@
     heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
-    EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a higher rank waits for nobody";
+    EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a job of high priority does not wait for gangs";
     advance(Seconds(25));
     report_twice(m1);
     place();
-    EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its time is gone";
+    EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its target duration has passed";
 }
 
 TEST_F(SchedulerTest, CriticalServiceDoesNotWaitForItsWindow) {
@@ -138,7 +138,7 @@
     heartbeat(m2);
     leader->relocate(now);
     place();
-    EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "it may still be there";
+    EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "the task may still run on its old machine";
     EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-1", 0));
     heartbeat(m1);
     place();
@@ -188,12 +188,12 @@
         settle();
         for (auto* w : {&m1, &m2}) heartbeat(*w);
         place();
-        ASSERT_GE(leader->job(uid)->placed, 3u) << "one place is for what failed before";
+        ASSERT_GE(leader->job(uid)->placed, 3u) << "the retry of the earlier job may take one slot";
         fail_all();
     }
     EXPECT_TRUE(leader->job("run-1")->crash_looping());
-    EXPECT_EQ(leader->running_machines(now), 2u) << "two such jobs on it do not spoil a machine";
-    EXPECT_FALSE(place()) << "a pause first";
+    EXPECT_EQ(leader->running_machines(now), 2u) << "two crash-looping jobs must not quarantine a machine";
+    EXPECT_FALSE(place()) << "the retry must wait for the pause";
     EXPECT_TRUE(leader->scale_out(now).empty());
     advance(20s);
     for (auto* w : {&m1, &m2}) heartbeat(*w);
--- a/tests/scheduler_preemption_test.cpp
+++ b/tests/scheduler_preemption_test.cpp
@@ -13,7 +13,7 @@
     report_twice(m2);
     accept(replica("run-3"));
     place();
-    EXPECT_EQ(machine_of("run-3", 0), "") << "n-000002 has room, but not the image";
+    EXPECT_EQ(machine_of("run-3", 0), "") << "n-000002 has room but does not hold the image";
     EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-2", 0));
     heartbeat(m1);
     ASSERT_TRUE(place());
@@ -41,7 +41,7 @@
         settle();
         heartbeat(m1);
         place();
-        EXPECT_EQ(leader->job("run-1")->placed, 2u) << "equals wait";
+        EXPECT_EQ(leader->job("run-1")->placed, 2u) << "a job of equal priority must not preempt";
     }
     critical.priority = model::Priority::critical;
     accept(critical);
@@ -50,8 +50,8 @@
     std::vector<Command> commands = heartbeat(m1);
     const int kills =
         has_command(commands, CommandType::kill, "run-1", 0) + has_command(commands, CommandType::kill, "run-1", 1);
-    EXPECT_EQ(kills, 1) << "no more than it takes";
-    EXPECT_EQ(machine_of("run-3", 0), "") << "the room is not free before the task is gone";
+    EXPECT_EQ(kills, 1) << "exactly one task must be preempted";
+    EXPECT_EQ(machine_of("run-3", 0), "") << "the room is used only once the preempted task is gone";
     heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-3", 0), "n-000001");
@@ -82,7 +82,7 @@
         return n;
     };
     accept(gang);
-    EXPECT_EQ(kills(), 0u) << "what cannot make room for all of the gang is not stopped";
+    EXPECT_EQ(kills(), 0u) << "no task may be preempted if the whole gang still does not fit";
     ASSERT_TRUE(cancel("run-3"));
     sync_job("run-3");
     gang.uid = "run-2";
--- a/tests/scheduler_records_test.cpp
+++ b/tests/scheduler_records_test.cpp
@@ -113,7 +113,7 @@
     // If the record has not been removed yet, the next leader recognises that the job is over.
     keys.commit({{}, {{written.key, written.value, 0}}});
     elect();
-    ASSERT_NE(leader->job("run-1"), nullptr) << "its task may be on the machine that the record names";
+    ASSERT_NE(leader->job("run-1"), nullptr) << "its task may run on the machine that the record names";
     settle();
     report_twice(m1);
     EXPECT_FALSE(place());
@@ -127,7 +127,7 @@
     start(job("run-1", JobKind::array, 1), {&m1});
     m1.finish("run-1", 0, ExitReason::done);
     heartbeat(m1);
-    ASSERT_TRUE(cancel("run-1")) << "the leader's record of the end is not written yet";
+    ASSERT_TRUE(cancel("run-1")) << "the outcome is not recorded yet";
     commit();
     EXPECT_EQ(state_of("run-1"), "aborted");
 
--- a/tests/scheduler_scaling_test.cpp
+++ b/tests/scheduler_scaling_test.cpp
@@ -78,11 +78,11 @@
     EXPECT_FALSE(leader->heartbeat_coverage(now).cut_off_from_workers());
     advance(settings.heartbeat_interval * 1.25 + 2s);
     EXPECT_TRUE(leader->heartbeat_coverage(now).cut_off_from_workers())
-        << "and that is soon, for every lease is running out";
+        << "detected early, because all leases are running out";
     accept(job("run-1", JobKind::array, 40));
     for (const auto later = now + model::to_clock(settings.worker_lease * 2); now < later; advance(1s)) {
         EXPECT_TRUE(machines_to_release().empty());
-        EXPECT_TRUE(leader->scale_out(now).empty()) << "what is needed is a hearing, not machines";
+        EXPECT_TRUE(leader->scale_out(now).empty()) << "a leader that is cut off must not launch machines";
     }
 }
 
@@ -118,7 +118,7 @@
         advance(3s);
         for (int k = 0; k < 3; ++k) heartbeat(all[static_cast<std::size_t>(k)]);
     }
-    EXPECT_TRUE(machines_to_release().empty()) << "so many at once are rather out of reach than dead";
+    EXPECT_TRUE(machines_to_release().empty()) << "so many silent machines are more likely unreachable than dead";
     leader->machines_listed(list, now);
     EXPECT_EQ(machines_to_release(), (std::vector<std::string>{"n-000004", "n-000005", "n-000006"}));
 }
@@ -135,7 +135,7 @@
     ASSERT_EQ(commands[0].count, 3);
     leader->machines_launched(commands[0].pool, {"n-000001", "n-000002", "n-000003"}, now);
     advance(Seconds(45));
-    EXPECT_TRUE(leader->scale_out(now).empty()) << "they may take half as long again as usual";
+    EXPECT_TRUE(leader->scale_out(now).empty()) << "booting may take 1.6 times the usual time";
     advance(Seconds(5));
     const auto again = leader->scale_out(now);
     ASSERT_FALSE(again.empty());
