--- a/src/scheduler/dependency_graph.cpp
+++ b/src/scheduler/dependency_graph.cpp
@@ -74,7 +74,7 @@
     remember_closed(uid);
     for (const auto& name : needs)
         if (auto* need = find(name)) need->needed_by.erase(uid);
-    // A job that is over no longer passes its priority on to its dependencies.
+    // A job with an outcome no longer passes its priority on to its dependencies.
     lower_priorities(needs, changes);
     if (!done) {
         fail_dependents(needed_by, changes);
--- a/src/scheduler/failure_tracker.cpp
+++ b/src/scheduler/failure_tracker.cpp
@@ -42,8 +42,8 @@
 void FailureTracker::back_off(Job& job, TimePoint now) {
     const auto pause = std::min(first_pause * (1 << std::min(job.back_offs++, max_doublings)), longest_pause);
     job.eligible_at = now + pause;
-    spdlog::debug("event=job_crash_looping job={} class={} errors={} pause={}", job.spec.uid, job.spec.job_class,
-                  job.errors, pause.count());
+    spdlog::debug("event=job_crash_looping job={} class={} errors={} pause_seconds={}", job.spec.uid,
+                  job.spec.job_class, job.errors, pause.count());
 }
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/gang_barrier.cpp
+++ b/src/scheduler/gang_barrier.cpp
@@ -43,8 +43,8 @@
         // All members have a machine and only images are missing, so the timeout does not run.
         if (job->placed + job->done == job->spec.tasks) job->barrier_since = now;
         if (now - job->barrier_since <= model::to_clock(state_.settings.gang_barrier_timeout)) return false;
-        spdlog::info("event=gang_reservation_released job={} parked={} placed={}", uid, job->members_at_barrier,
-                     job->placed);
+        spdlog::info("event=gang_reservation_released job={} members_waiting={} placed={}", uid,
+                     job->members_at_barrier, job->placed);
         for (std::uint32_t i = 0; i < job->spec.tasks; ++i)
             if (job->tasks[i].at_barrier) tasks_.leave(*job, i, Task::State::waiting, now);
         return true;
--- a/src/scheduler/heartbeat_reconciler.cpp
+++ b/src/scheduler/heartbeat_reconciler.cpp
@@ -52,11 +52,11 @@
         spdlog::debug("event=machine_up machine={} type={} zone={} spot={}", heartbeat.machine, heartbeat.type,
                       heartbeat.zone, heartbeat.spot);
     if (machine.reported && heartbeat.incarnation > machine.incarnation) {
-        spdlog::info("event=worker_lease_expired machine={} tasks={} sure={}", machine.name, machine.tasks.size(),
+        spdlog::info("event=worker_lease_expired machine={} tasks={} term_seen={}", machine.name, machine.tasks.size(),
                      machine.current);
         // A new incarnation proves that tasks are gone only if the worker had seen this term in the previous one.
-        // Otherwise the previous heartbeat may be a late copy from an even earlier incarnation, and a task placed
-        // before this term may have been started in the new one. Tasks that no run command was sent for are kept.
+        // Otherwise the previous heartbeat may be a late copy from an even earlier incarnation. A task placed before
+        // this term may then have been started in the new incarnation. Tasks that no run command was sent for are kept.
         if (machine.current) tasks_.lose_all(machine, true, now);
     }
     if (!machine.reported) machine.idle_since = now;
@@ -80,7 +80,7 @@
     const auto i = report.id.index;
     const bool ended = report.status == TaskStatus::exited;
     if (!job || i >= job->spec.tasks) {
-        // Records of open jobs are not removed, so the job is over and its tasks are not needed any more.
+        // Records of open jobs are not removed, so the job has an outcome and its tasks are not needed any more.
         clear_or_kill(report, true, commands);
         return !ended;
     }
@@ -134,7 +134,7 @@
     job.tasks[task].started = true;
     job.tasks[task].running_since = now;
     ++job.running;
-    spdlog::debug("event=task_started task={}/{} class={} machine={} after={:.1f}", job.spec.uid, task,
+    spdlog::debug("event=task_started task={}/{} class={} machine={} waited_seconds={:.1f}", job.spec.uid, task,
                   job.spec.job_class, machine.name, Seconds(now - job.arrived).count());
     state_.jobs.mark_count_changed(job.spec.uid);
 }
--- a/src/scheduler/lease_rule.hpp
+++ b/src/scheduler/lease_rule.hpp
@@ -14,9 +14,9 @@
     return now - cancellations_known_at < model::to_clock(s.cancel_deadline - s.worker_lease - margin);
 }
 
-// How long after a cancellation a silent machine that may run the job's tasks is released, by the leader or, without a
-// leader, by any controller that knows the cancellation. Half of cancel_s leaves the other half for controllers that
-// missed the cancellation while they were down: after as long, they probe all silent machines (app::Fencer).
+// How long after a cancellation a silent machine that may run the job's tasks is released. The leader releases it or,
+// without a leader, any controller that knows the cancellation. Half of cancel_s leaves the other half for controllers
+// that missed the cancellation while they were down: after as long, they probe all silent machines (app::Fencer).
 inline model::Seconds give_up_silent_after(const config::Settings& s) { return s.cancel_deadline * 0.5; }
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -182,9 +182,9 @@
     return out;
 }
 
-// While gangs that may not use spot machines find no room, an array that may use spot machines leaves on-demand
-// machines to them for half of its target duration. Otherwise arrays would occupy suitable machines, and others would
-// be requested for the gangs at several times the price.
+// An array that may use spot machines leaves on-demand machines to gangs that may not, if such gangs find no room. It
+// does so for half of its target duration. Otherwise arrays would occupy suitable machines, and others would be
+// requested for the gangs at several times the price.
 bool PlacementPass::leaves_on_demand_machines(const Job& job, TimePoint now) const {
     return on_demand_gangs_wait_ && job.spec.spot && job.is(JobKind::array) &&
            job.priority <= model::Priority::normal &&
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -69,8 +69,9 @@
     return false;
 }
 
-// Within a team the priority decides. Between teams, a job within its team's guaranteed share is never preempted, and
-// preempts jobs beyond their own team's share whatever their priority.
+// Within a team the priority decides. Between teams the guaranteed shares decide, regardless of priority: a job within
+// its team's share is never preempted, and it preempts jobs beyond their own team's share. If neither job is within its
+// share, the priority decides.
 bool Preemption::is_preemptible_by(const Job& other, const Job& job) const {
     if (other.spec.team != job.spec.team) {
         if (demand_.guaranteed(other)) return false;
@@ -100,7 +101,7 @@
             add(amount, other.spec.need);
         }
         auto& task = other.tasks[i];
-        spdlog::info("event=task_preempted task={}/{} machine={} for={}", uid, i, task.machine->name, job.spec.uid);
+        spdlog::info("event=task_preempted task={}/{} machine={} for_job={}", uid, i, task.machine->name, job.spec.uid);
         task.draining = true;
     }
 }
--- a/src/scheduler/record_writer.hpp
+++ b/src/scheduler/record_writer.hpp
@@ -1,5 +1,5 @@
-// Writes changed jobs to the store in transactions of limited size, which are conditioned on the term and on the last
-// known revisions of the records, and applies the results.
+// Writes changed jobs to the store in transactions of limited size, and applies the results. Each transaction is
+// conditioned on the term and on the last known revisions of the records.
 #pragma once
 #include <cstdint>
 #include <string>
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -102,8 +102,8 @@
     // --- reconciliation after records were lost ---
 
     // The records were rebuilt and may lack the last placements. A job is placed only once every machine that its tasks
-    // may run on has reported under this term, was released, or was still booting after the term began. Tasks that
-    // workers report and the records lack are adopted.
+    // may run on is reconciled: it has reported under this term, was released, or was still booting after the term
+    // began. Tasks that workers report and the records lack are adopted.
     void expect_unrecorded_tasks() { state_.awaiting_reconciliation = true; }
     bool awaiting_reconciliation() const { return state_.awaiting_reconciliation; }
     // Whether a worker has reported, since the last call, a task attempt that can exist only if records were lost.
--- a/src/scheduler/spare_capacity.cpp
+++ b/src/scheduler/spare_capacity.cpp
@@ -15,8 +15,8 @@
 }  // namespace
 
 // New tasks go to the least loaded machine, so in a large fleet no machine becomes empty, however low the load is. If
-// the idle share has exceeded the wanted one for some time, the machines with the highest idle cost get no new tasks,
-// and are released when they are empty.
+// the idle share has exceeded the wanted one for some time, the machines with the highest idle cost are cordoned. They
+// get no new tasks, and are released when they are empty.
 void SpareCapacity::cordon_spare(TimePoint now) {
     if (state_.awaiting_reconciliation) return;
     if (now < after(state_.last_shortage, no_shortage_time)) {
