--- a/src/scheduler/fleet_view.cpp
+++ b/src/scheduler/fleet_view.cpp
@@ -11,11 +11,11 @@
 constexpr double overdue_intervals = 1.25;  // heartbeats may be a quarter of an interval late
 constexpr Seconds packet_loss{1};           // allowance for one lost packet
 constexpr auto first_round_slack = 500ms;   // allowance beyond the first round of heartbeats of a term
-constexpr double required_report_share =
-    0.95;  // share of the machines with work whose heartbeat a new leader waits for
+// Share of the machines with work whose heartbeat a new leader waits for.
+constexpr double required_report_share = 0.95;
 constexpr std::size_t min_quiet_zone_machines = 8;  // smaller zones may be silent by chance
-constexpr double quiet_zone_window =
-    0.5;  // heartbeat intervals within which a share of the machines must have reported
+// Heartbeat intervals within which a share of the machines must have reported.
+constexpr double quiet_zone_window = 0.5;
 
 // Whether the machine should report: it has reported before or has tasks, and is not known to be gone.
 bool expected_to_report(const Machine& machine) {
--- a/src/scheduler/job.cpp
+++ b/src/scheduler/job.cpp
@@ -27,8 +27,8 @@
 
 namespace {
 
-constexpr std::size_t oldest_format_max_types =
-    40;  // machine types that a submission may name in the oldest record format
+// Machine types that a submission may name in the oldest record format.
+constexpr std::size_t oldest_format_max_types = 40;
 
 bool parse_number(std::string_view text, std::uint32_t& into) {
     const auto* end = text.data() + text.size();
--- a/src/scheduler/job.hpp
+++ b/src/scheduler/job.hpp
@@ -30,13 +30,13 @@
     bool run_sent = false;  // a run command may have been sent, by this leader or an earlier one
     bool reported = false;  // its machine has reported this attempt
     bool started = false;   // reported as running
-    bool at_barrier =
-        false;  // gang member whose worker gave up waiting for the rest of the gang; its room stays reserved
+    // Gang member whose worker gave up waiting for the rest of the gang; its room stays reserved.
+    bool at_barrier = false;
     bool draining = false;         // must be stopped: preempted, moved, or its machine is terminated
     std::uint32_t generation = 0;  // last change; the worker may forget the task once this generation is on record
     std::uint64_t attempt = 0;
-    std::uint64_t last_heartbeat_number =
-        0;  // the number of the last heartbeat that reported it (HeartbeatReconciler counts them)
+    // The number of the last heartbeat that reported it, as HeartbeatReconciler counts them.
+    std::uint64_t last_heartbeat_number = 0;
     Machine* machine = nullptr;
     TimePoint running_since{}, placed_at{};
 };
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 constexpr unsigned max_reservations = 50;  // gangs for which one pass reserves room
-constexpr double array_spot_share =
-    0.5;  // share of an array's target duration during which it leaves on-demand machines to gangs
+// Share of an array's target duration during which it leaves on-demand machines to gangs.
+constexpr double array_spot_share = 0.5;
 }  // namespace
 
 bool PlacementPass::run(TimePoint now) {
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -13,11 +13,11 @@
 using placement::Planner;
 
 namespace {
-constexpr auto preemption_interval =
-    10s;  // delay until the job may preempt again; victims exit and their room is used within it
+// Delay until the job may preempt again; victims exit and their room is used within it.
+constexpr auto preemption_interval = 10s;
 constexpr auto room_retry_interval = 30s;  // delay until room for the replicas of a service may be made again
-constexpr int min_fetch_to_wait_ratio =
-    3;  // the image fetch must take this many times the time until the victims are gone
+// The image fetch must take this many times the time until the victims are gone.
+constexpr int min_fetch_to_wait_ratio = 3;
 constexpr int min_fetch_to_loss_ratio = 2;  // the image fetch must take this many times the loss by preemption
 
 void add(quota::Amount& amount, const model::Resources& need) {
--- a/src/scheduler/record_loader.cpp
+++ b/src/scheduler/record_loader.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 constexpr std::size_t max_fragmented = 1000;  // incomplete submissions kept; the number bounds memory
-constexpr std::chrono::milliseconds max_clock_age =
-    std::chrono::hours(24);  // cap on ages computed from another controller's clock
+// Cap on ages computed from another controller's clock.
+constexpr std::chrono::milliseconds max_clock_age = std::chrono::hours(24);
 
 bool is_over(DependencyGraph::Status status) {
     return status == DependencyGraph::Status::done || status == DependencyGraph::Status::cancelled;
--- a/src/scheduler/record_writer.hpp
+++ b/src/scheduler/record_writer.hpp
@@ -62,8 +62,8 @@
 
     SchedulerState& state_;
     JobLifecycle& lifecycle_;
-    std::size_t single_batches_ =
-        0;  // number of next batches with a single change, to isolate the change that the store rejects
+    // Number of next batches with a single change, to isolate the change that the store rejects.
+    std::size_t single_batches_ = 0;
 };
 
 }  // namespace flintdale::scheduler
--- a/src/scheduler/scale_in.cpp
+++ b/src/scheduler/scale_in.cpp
@@ -10,20 +10,20 @@
 constexpr std::size_t max_release = 100;  // limit of one call to the cloud
 constexpr Seconds default_boot{60};       // boot time of machines of unknown type
 constexpr Seconds min_boot_timeout{30};   // minimum time until a machine that never reported is released
-constexpr int new_term_intervals =
-    4;  // heartbeat intervals of a new term before machines that never reported are released
-constexpr double termination_silence_intervals =
-    1.5;                                    // heartbeat intervals of silence after the announced termination time
+// Heartbeat intervals of a new term before machines that never reported are released.
+constexpr int new_term_intervals = 4;
+// Heartbeat intervals of silence after the announced termination time.
+constexpr double termination_silence_intervals = 1.5;
 constexpr double silent_intervals = 1.7;    // minimum heartbeat intervals of silence before a machine is released
 constexpr Seconds lease_margin{5};          // added to the lease where many machines are silent
 constexpr Seconds death_listing_delay{30};  // time until the cloud's list shows that a machine has died
 constexpr double list_lag_factor = 1.5;     // list lags until such a list has arrived
 constexpr double quiet_zone_boots = 2;  // boot times, added to the lease, that machines of a cut-off zone may be silent
-constexpr double cut_off_leases =
-    3;  // leases that a leader without heartbeats waits before it releases silent machines
+// Leases that a leader without heartbeats waits before it releases silent machines.
+constexpr double cut_off_leases = 3;
 constexpr int idle_report_intervals = 2;  // heartbeat intervals within which an idle machine must have reported
-constexpr int missed_heartbeats =
-    3;  // missed before a machine with cancelled work is released at half of the cancel deadline
+// Missed before a machine with cancelled work is released at half of the cancel deadline.
+constexpr int missed_heartbeats = 3;
 constexpr Seconds release_margin{5};  // time for a release to take effect, beside one late heartbeat
 }  // namespace
 
--- a/src/scheduler/scale_out.cpp
+++ b/src/scheduler/scale_out.cpp
@@ -11,13 +11,13 @@
 namespace {
 constexpr int max_request = 50;         // limit of one call to the cloud
 constexpr double bulk_exponent = 0.25;  // discounts the price of a slot by the number of slots that services fill
-constexpr double idle_price_limit =
-    1.5;                                 // factor on the cheapest slot price up to which idle jobs may request machines
-constexpr double overdue_boots = 1.6;    // boot times after which a booting machine counts as overdue
-constexpr int min_overdue_machines = 3;  // minimum of overdue machines in a pool; fewer may be chance
+// Factor on the cheapest slot price up to which idle jobs may request machines.
+constexpr double idle_price_limit = 1.5;
+constexpr double overdue_boots = 1.6;       // boot times after which a booting machine counts as overdue
+constexpr int min_overdue_machines = 3;     // minimum of overdue machines in a pool; fewer may be chance
 constexpr double overdue_price_factor = 2;  // factor on the price of a pool with overdue machines
-constexpr double cheap_only_share =
-    0.5;  // share of an array's target duration during which it waits for cheap machines
+// Share of an array's target duration during which it waits for cheap machines.
+constexpr double cheap_only_share = 0.5;
 }  // namespace
 
 std::vector<fleet::InstanceRequest> ScaleOut::run(TimePoint now) {
--- a/tests/support/scheduler_harness.hpp
+++ b/tests/support/scheduler_harness.hpp
@@ -73,10 +73,12 @@
 
     // Starts a new leader: raises the term and loads the records. The leader has received no heartbeat yet.
     Scheduler& elect();
-    void accept(const model::JobSpec& spec);  // accepts the job as any controller does, and shows it to the leader
-    bool cancel(
-        const std::string& uid);  // as any controller; the leader is not informed; false if the job has an outcome
-    void sync_job(const std::string& uid);  // shows the job's records to the leader
+    // Accepts the job as any controller does, and shows it to the leader.
+    void accept(const model::JobSpec& spec);
+    // Cancels the job as any controller does, without informing the leader. False if the job has an outcome.
+    bool cancel(const std::string& uid);
+    // Shows the job's records to the leader.
+    void sync_job(const std::string& uid);
     // Sends one heartbeat and returns the commands of its answer, which the worker executes unless the answer is lost.
     std::vector<Command> heartbeat(Worker& w, bool answer_arrives = true);
     void commit();        // writes all changes of the leader's jobs
