--- a/src/scheduler/failure_tracker.cpp
+++ b/src/scheduler/failure_tracker.cpp
@@ -9,8 +9,8 @@
 namespace {
 // Jobs that must fail on a machine, but not everywhere, before it is quarantined.
 constexpr unsigned quarantine_jobs = 2;
-constexpr std::chrono::seconds first_pause{5},
-    longest_pause{60};                 // limits of the pause between tries of a crash-looping job
+// Limits of the pause between tries of a crash-looping job.
+constexpr std::chrono::seconds first_pause{5}, longest_pause{60};
 constexpr unsigned max_doublings = 8;  // of the pause between tries
 }  // namespace
 
--- a/src/scheduler/follower_leases.cpp
+++ b/src/scheduler/follower_leases.cpp
@@ -13,7 +13,7 @@
 constexpr model::Seconds clock_margin{1};         // margin for clocks; the answer is decided when the heartbeat arrives
 constexpr double cancellation_expiry_factor = 3;  // multiples of cancel_s for which a cancellation is remembered
 constexpr std::size_t max_kill_commands = 300;    // in one answer; the same limit as for leaders
-constexpr std::size_t max_machines = 100'000;
+constexpr std::size_t max_machines = 100'000;     // whose last heartbeat is remembered
 }  // namespace
 
 void FollowerLeases::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began) {
--- a/src/scheduler/record_loader.cpp
+++ b/src/scheduler/record_loader.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t max_fragmented = 1000;  // incomplete submissions kept; the number bounds memory
+constexpr std::size_t max_fragmented = 1000;  // incomplete submissions that are kept
 // Cap on ages computed from another controller's clock.
 constexpr std::chrono::milliseconds max_clock_age = std::chrono::hours(24);
 
@@ -45,8 +45,8 @@
     auto* job = state_.jobs.find(uid);
     if (!job) return;
     // The job's wait started at its acceptance, under an earlier leader. Aging, the deadline and the rules based on
-    // half of the target duration depend on that time. The wait of a job with dependencies begins when they
-    // are done; here it counts from this load.
+    // half of the target duration depend on that time. The wait of a job with dependencies begins when they are done;
+    // here it counts from this load.
     if (const auto accepted = job->spec.accepted_ms;
         time_of_day_ms > accepted && accepted > 0 && job->spec.dependencies.empty())
         job->arrived = now - std::min(std::chrono::milliseconds(time_of_day_ms - accepted), max_clock_age);
--- a/src/scheduler/record_writer.cpp
+++ b/src/scheduler/record_writer.cpp
@@ -102,8 +102,8 @@
 void RecordWriter::forget(const std::string& uid) {
     auto& job = *state_.jobs.find(uid);
     job.split_records(job.tasks_per_record);
-    // Garbage is removed last in, first out. The first record must be removed last, because the other records belong to
-    // a job only as long as it exists.
+    // Garbage is removed last in, first out. The first record must be removed last: as long as it exists, the other
+    // records are known to belong to a job.
     std::stable_partition(job.superseded.begin(), job.superseded.end(),
                           [&](const OldRecord& record) { return record.key == work_key(uid, 0); });
     for (const auto& record : job.superseded) state_.garbage.add(record.key, record.mod_revision);
--- a/src/scheduler/scale_in.cpp
+++ b/src/scheduler/scale_in.cpp
@@ -33,8 +33,8 @@
     for (const auto& [name, machine] : state_.inventory.all()) {
         const char* why = reason(*machine, situation);
         // Cancelled work takes precedence over every other reason. During an outage of the store only this reason
-        // counts, even for machines with an earlier release or a termination notice, because either may still be
-        // running.
+        // counts, even for machines with an earlier release or a termination notice, because such a machine may still
+        // run.
         if (cancelled_work_at_risk(*machine, now)) why = cancelled_work;
         if (why) out.push_back({name, why});
     }
--- a/src/scheduler/scale_out.cpp
+++ b/src/scheduler/scale_out.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr int max_request = 50;         // limit of one call to the cloud
 constexpr double bulk_exponent = 0.25;  // discounts the price of a slot by the number of slots that services fill
-// Factor on the cheapest slot price up to which idle jobs may request machines.
+// Factor on the cheapest slot price up to which jobs of idle priority may request machines.
 constexpr double idle_price_limit = 1.5;
 constexpr double overdue_boots = 1.6;       // boot times after which a booting machine counts as overdue
 constexpr int min_overdue_machines = 3;     // minimum of overdue machines in a pool; fewer may be chance
@@ -142,7 +142,7 @@
                     compare({job, hosts, count, type, slots}, {type.name, zone, spot}, round, best);
     }
     if (!best.pool) return std::nullopt;
-    // Idle jobs are not urgent, and must not use up capacity that other jobs will request.
+    // Jobs of idle priority are not urgent, and must not use up capacity that other jobs will request.
     if (job.priority == model::Priority::idle && best.cost.first > best.cheapest_slot * idle_price_limit)
         return std::nullopt;
     // Tasks of an array can run one after another on cheap machines. Costly machines are requested only for arrays that
