--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -318,8 +318,8 @@
     EXPECT_FALSE(follower.answer(with_task("run-1"), now));
 }
 
-// The machines of a zone that was cut off were released one by one before a third of them was overdue, and their cached
-// images were lost.
+// The machines of a zone that was cut off were released one by one before a third of the spot or on-demand
+// machines was overdue, and their cached images were lost.
 TEST_F(SilentZoneTest, KeepsTheMachinesOfAZoneThatFallsSilentAsAWhole) {
     elect();
     run_seconds(12, 0);
