--- a/tests/scheduler_heartbeat_test.cpp
+++ b/tests/scheduler_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats and what they prove: leases, late copies, delayed answers.
+// Heartbeats as evidence: expired leases, late copies, delayed answers.
 #include <algorithm>
 
 #include "model/task.hpp"
@@ -13,31 +13,32 @@
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     ASSERT_EQ(machine_of("run-1", 0), "n-000001");
-    for (int i = 0; i < 20; ++i) {  // a minute without a word from n-000001, far beyond its lease
+    for (int i = 0; i < 20; ++i) {  // n-000001 is silent for a minute, far beyond its lease
         advance(3s);
         heartbeat(m2);
         place();
-        ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence";
+        ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "silence is no evidence that the task is gone";
     }
-    const auto going = machines_to_release();
-    ASSERT_EQ(std::count(going.begin(), going.end(), "n-000001"), 1);
-    ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "a release that is not answered is no evidence either";
+    const auto releases = machines_to_release();
+    ASSERT_EQ(std::count(releases.begin(), releases.end(), "n-000001"), 1);
+    ASSERT_EQ(machine_of("run-1", 0), "n-000001") << "an unconfirmed release is no evidence that the task is gone";
     leader->machines_released({"n-000001"}, now);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
-    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now)) << "a late report of a released machine is not believed";
+    EXPECT_FALSE(leader->handle_heartbeat(m1.report(), now))
+        << "a late heartbeat of a released machine must be ignored";
 }
 
-TEST_F(SchedulerTest, NextLeaderFindsTheIntentOfOneThatDiedBeforeItsRunCommand) {
+TEST_F(SchedulerTest, NextLeaderLoadsAPlacementWhoseRunCommandWasNotSent) {
     elect();
     accept(job("run-1", JobKind::array, 1));
     settle();
     report_twice(m1);
-    ASSERT_TRUE(place());  // on record for n-000001, and then the leader is gone
+    ASSERT_TRUE(place());  // recorded for n-000001; then the leader ends
     auto& next = elect();
     settle();
     report_twice(m2);
-    EXPECT_FALSE(place()) << "the task may be on n-000001";
+    EXPECT_FALSE(place()) << "the task may run on n-000001";
     auto commands = heartbeat(m1);
     EXPECT_FALSE(has_command(commands, CommandType::run, "run-1", 0)) << "n-000001 has not seen this term yet";
     commands = heartbeat(m1);
@@ -53,9 +54,9 @@
     ASSERT_TRUE(place());
     const auto old_report = m1.report();
     ASSERT_TRUE(has_command(heartbeat(m1, false), CommandType::run, "run-1", 0));
-    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0)) << "the worker dropped the first answer";
+    EXPECT_TRUE(has_command(heartbeat(m1), CommandType::run, "run-1", 0)) << "the first answer was lost";
     heartbeat(m1);
-    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "a report from before must not undo what is known";
+    EXPECT_FALSE(leader->handle_heartbeat(old_report, now)) << "an older heartbeat must not revert newer state";
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_FALSE(has_command(heartbeat(m1), CommandType::run, "run-1", 0));
 }
@@ -89,8 +90,9 @@
     EXPECT_LE(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
 }
 
-// Found by the simulator: a leader that gives up a placement before its run command was carried out records that some
-// seconds later, and places another task there at once. If it ends in between, the next one reads both placements.
+// A leader that abandons a placement before its run command was executed records that some seconds later, but places
+// another task in its room at once. If the leader ends in between, the next one reads both placements (found by the
+// simulator).
 TEST_F(SchedulerTest, AbandonedPlacementIsNotStartedByTheNextLeader) {
     elect();
     auto first = job("run-1", JobKind::array, 2);  // two tasks of 4 fill the limit of 8
@@ -104,7 +106,8 @@
     auto second = job("run-2", JobKind::array, 2);
     second.team = "limited";
     accept(second);
-    // What is on record at that moment of the first job, which is given up, and of the second, which took its place.
+    // The records at that moment: the first job still placed, although abandoned, and the second job placed in its
+    // room.
     state::Txn txn;
     auto record = keys.get("jobs/work/run-2").value.as_object();
     record["tasks"] = wire::ranges_to_record({{0, 1, 1, m2.name, false}});
@@ -131,8 +134,8 @@
     EXPECT_EQ(leader->job("run-1")->placed + leader->job("run-2")->placed, 2u);
 }
 
-// Found by scenarios/meeting.toml, seed 1738: the first heartbeat that a new leader receives from a machine is a copy
-// from an earlier incarnation.
+// The first heartbeat that a new leader receives from a machine is a copy from an earlier incarnation (found by
+// scenarios/meeting.toml, seed 1738).
 TEST_F(SchedulerTest, CopyOfAHeartbeatFromAnEarlierIncarnationIsNoEvidence) {
     elect();
     report_twice(m1);
@@ -144,16 +147,16 @@
     leader->handle_heartbeat(copy, now);
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name)
-        << "it runs there, in the incarnation that this leader learns of only now";
+        << "the task runs there in the newer incarnation, which this leader did not know before";
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), m1.name);
-    // A session that ends under this term is evidence.
+    // An incarnation that ends under this term is evidence.
     m1.lose_lease();
     heartbeat(m1);
     EXPECT_EQ(machine_of("run-1", 0), "");
 }
 
-// In a large fleet some machine is always gone; waiting the whole round for it cost seconds in every failover.
+// In a large fleet some machine is always gone. Waiting the whole first round for it cost seconds in every failover.
 TEST_F(SchedulerTest, NewLeaderPlacesWhenNearlyAllMachinesWithWorkHaveReported) {
     elect();
     auto whole = job("run-1", JobKind::array, 20);
@@ -167,7 +170,7 @@
     ASSERT_TRUE(place());
     accept(job("run-2", JobKind::array, 1));
     elect();
-    report_twice(m1);  // it has room, and no work on record
+    report_twice(m1);  // it has room and no recorded tasks
     for (int i = 0; i < 18; ++i) heartbeat(workers[static_cast<std::size_t>(i)]);
     EXPECT_FALSE(place());
     heartbeat(workers[18]);
@@ -175,7 +178,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-// Commands travel in answers only. Where a heartbeat makes room, its own answer may still carry the next run command.
+// Commands are sent only in answers. If a heartbeat frees room, its own delayed answer may carry the next run command.
 TEST_F(SchedulerTest, DelayedResponseCarriesNewPlacementsUnlessANewerHeartbeatCame) {
     using ExpectedWork = scheduler::Scheduler::ExpectedWork;
     elect();
@@ -191,12 +194,13 @@
     EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::placement);
     ASSERT_TRUE(leader->place(now));
     EXPECT_EQ(leader->expected_work(report, passes), ExpectedWork::record_write);
-    EXPECT_TRUE(leader->pending_runs(report).empty()) << "not on record yet";
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "the placement is not recorded yet";
     commit();
     const auto newer = m1.report();
     leader->handle_heartbeat(newer, now);
-    EXPECT_TRUE(leader->pending_runs(report).empty()) << "that answer would come too late";
-    EXPECT_EQ(leader->expected_work(newer, passes), ExpectedWork::none) << "the newer report's answer has it";
+    EXPECT_TRUE(leader->pending_runs(report).empty()) << "the answer to an older heartbeat must not carry the command";
+    EXPECT_EQ(leader->expected_work(newer, passes), ExpectedWork::none)
+        << "the answer to the newer heartbeat carries the command";
 }
 
 TEST_F(SchedulerTest, DelayedResponseCarriesNoRunOfACancelledJob) {
@@ -212,16 +216,16 @@
     EXPECT_TRUE(leader->pending_runs(report).empty());
 }
 
-// inc-d158: a leader was paused for 40 s, then found every machine silent and released them all, while its successor
-// was using them.
-TEST_F(SchedulerTest, PausedLeaderDoesNotBlameTheMachines) {
+// inc-d158: a leader was paused for 40 s, then found every machine silent and released them all while its successor was
+// using them.
+TEST_F(SchedulerTest, PausedLeaderDoesNotCountThePauseAsSilence) {
     elect();
     start(job("run-1", JobKind::array, 1), {&m1});
     advance(40s);
     leader->process_paused(40s);
     EXPECT_TRUE(machines_to_release().empty());
     advance(40s);
-    EXPECT_FALSE(machines_to_release().empty()) << "real silence still counts";
+    EXPECT_FALSE(machines_to_release().empty()) << "silence after the pause must count";
 }
 
 }  // namespace flintdale::test
--- a/tests/scheduler_placement_test.cpp
+++ b/tests/scheduler_placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks are placed, and in which order.
+// The machines that tasks are placed on, and the order of placement.
 #include "model/task.hpp"
 #include "support/scheduler_fixture.hpp"
 
@@ -7,7 +7,7 @@
 using model::ExitReason;
 using model::JobKind;
 
-TEST_F(SchedulerTest, SpreadJobCountsLingeringTasks) {
+TEST_F(SchedulerTest, SpreadJobCountsTasksThatMayStillRun) {
     elect();
     auto third = machine("n-000003", "a");
     auto spread = job("run-1", JobKind::service, 2);
@@ -15,15 +15,15 @@
     start(spread, {&m1, &m2});
     ASSERT_NE(machine_of("run-1", 0), machine_of("run-1", 1));
     const std::uint32_t in_b = machine_of("run-1", 0) == "n-000002" ? 0 : 1;
-    m2.finish("run-1", in_b, ExitReason::stopped);  // zone b's replica ends, and zone b has no machine any more
+    m2.finish("run-1", in_b, ExitReason::stopped);  // the replica in zone b ends, and zone b loses its only machine
     heartbeat(m2);
     leader->machines_released({"n-000002"}, now);
     report_twice(third);
-    EXPECT_FALSE(place()) << "zone a may hold one of two";
+    EXPECT_FALSE(place()) << "zone a may hold only one of two replicas";
     EXPECT_EQ(machine_of("run-1", in_b), "");
 }
 
-TEST_F(SchedulerTest, OneZoneJobStaysWhereItsLingeringTasksAre) {
+TEST_F(SchedulerTest, OneZoneJobStaysInTheZoneOfTasksThatMayStillRun) {
     elect();
     auto together = job("run-1", JobKind::array, 3);
     together.one_zone = true;
@@ -32,16 +32,16 @@
     for (int i = 0; i < 10; ++i) {
         advance(3s);
         report_twice(m2);
-        EXPECT_FALSE(place()) << "two tasks may still be in zone a";
+        EXPECT_FALSE(place()) << "two tasks may still run in zone a";
     }
 }
 
 TEST_F(SchedulerTest, OnlyAllowedTypesZonesAndSpotKindsAreUsed) {
     elect();
-    auto picky = job("run-1", JobKind::array, 1);
-    picky.zone = "b";
-    picky.types = std::vector<std::string>{"small"};
-    accept(picky);
+    auto restricted = job("run-1", JobKind::array, 1);
+    restricted.zone = "b";
+    restricted.types = std::vector<std::string>{"small"};
+    accept(restricted);
     settle();
     auto spot = machine("n-000003", "b");
     spot.spot = true;
@@ -60,7 +60,7 @@
     auto long_job = job("run-2", JobKind::array, 1), short_job = job("run-3", JobKind::array, 1);
     long_job.estimated_runtime = Seconds(600);
     long_job.accepted_ms = 1'000;
-    short_job.accepted_ms = 21'000;  // some windows later
+    short_job.accepted_ms = 21'000;  // some batching windows later
     accept(long_job);
     settle();
     EXPECT_FALSE(place());
@@ -75,7 +75,7 @@
     EXPECT_EQ(machine_of("run-2", 0), "");
 }
 
-// Arrays occupied the small on-demand machines that suit gangs, for which large ones were launched meanwhile.
+// Arrays occupied small on-demand machines that suit gangs, so large ones were launched for the gangs.
 TEST_F(SchedulerTest, SpotArrayLeavesOnDemandMachinesToAWaitingGangForHalfItsTime) {
     elect();
     auto gang = job("run-1", JobKind::gang, 2);
@@ -83,7 +83,7 @@
     accept(gang);
     settle();
     report_twice(m1);
-    EXPECT_FALSE(place()) << "it needs two machines";
+    EXPECT_FALSE(place()) << "the gang needs two machines";
     auto array = job("run-2", JobKind::array, 1);
     array.spot = true;
     array.deadline = Seconds(60);
@@ -96,11 +96,11 @@
     heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
-    EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a higher rank waits for nobody";
+    EXPECT_EQ(machine_of("run-3", 0), "n-000001") << "a job of high priority does not wait for gangs";
     advance(Seconds(25));
     report_twice(m1);
     place();
-    EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its time is gone";
+    EXPECT_EQ(machine_of("run-2", 0), "n-000001") << "half of its target duration has passed";
 }
 
 TEST_F(SchedulerTest, CriticalServiceDoesNotWaitForItsWindow) {
@@ -133,24 +133,24 @@
     heartbeat(m1);
     heartbeat(m2);
     ASSERT_EQ(machine_of("run-2", 0), "n-000002");
-    heartbeat(m2);  // both fetch the image, and n-000002 has it first
+    heartbeat(m2);  // both machines fetch the image; n-000002 has it first
     m2.run_all();
     heartbeat(m2);
     leader->relocate(now);
     place();
-    EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "it may still be there";
+    EXPECT_EQ(machine_of("run-1", 0), "n-000001") << "the task may still run on its old machine";
     EXPECT_TRUE(has_command(heartbeat(m1), CommandType::kill, "run-1", 0));
     heartbeat(m1);
     place();
     EXPECT_EQ(machine_of("run-1", 0), "n-000002");
 }
 
-TEST_F(SchedulerTest, MachineThatFailsSeveralJobsIsQuarantinedButABadJobSpoilsNone) {
+TEST_F(SchedulerTest, CrashLoopingJobQuarantinesNoMachine) {
     elect();
     std::vector<Worker> all;
     for (int i = 1; i < 6; ++i) all.push_back(machine("n-00000" + std::to_string(i), "a"));
     for (auto& w : all) report_twice(w);
-    accept(job("run-bad", JobKind::array, 1));  // fails wherever it is put
+    accept(job("run-bad", JobKind::array, 1));  // fails on every machine
     settle();
     for (int round = 0; round < 5; ++round) {
         advance(90s);
@@ -168,9 +168,9 @@
     EXPECT_EQ(leader->running_machines(now), all.size());
 }
 
-// Jobs submitted with a mistake were tried with all their tasks again and again, and machines were launched for each,
-// until their users cancelled them.
-TEST_F(SchedulerTest, CrashLoopingJobIsTriedWithOneTaskAndCostsNothingUntilOneSucceeds) {
+// Jobs submitted with a mistake were retried with all their tasks, and machines were launched for each retry, until
+// their users cancelled them.
+TEST_F(SchedulerTest, CrashLoopingJobIsRetriedWithOneTaskAndLaunchesNoMachineUntilOneSucceeds) {
     elect();
     report_twice(m1);
     report_twice(m2);
@@ -188,12 +188,12 @@
         settle();
         for (auto* w : {&m1, &m2}) heartbeat(*w);
         place();
-        ASSERT_GE(leader->job(uid)->placed, 3u) << "one place is for what failed before";
+        ASSERT_GE(leader->job(uid)->placed, 3u) << "the retry of the earlier job may take one slot";
         fail_all();
     }
     EXPECT_TRUE(leader->job("run-1")->crash_looping());
-    EXPECT_EQ(leader->running_machines(now), 2u) << "two such jobs on it do not spoil a machine";
-    EXPECT_FALSE(place()) << "a pause first";
+    EXPECT_EQ(leader->running_machines(now), 2u) << "two crash-looping jobs must not quarantine a machine";
+    EXPECT_FALSE(place()) << "the retry must wait for the pause";
     EXPECT_TRUE(leader->scale_out(now).empty());
     advance(20s);
     for (auto* w : {&m1, &m2}) heartbeat(*w);
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -10,7 +10,7 @@
 namespace flintdale::test {
 
 namespace {
-const bool quiet = [] { return spdlog::set_level(spdlog::level::off), true; }();
+const bool logging_disabled = [] { return spdlog::set_level(spdlog::level::off), true; }();
 }  // namespace
 
 config::Settings settings() {
@@ -80,7 +80,7 @@
     return {small, large};
 }
 
-state::TxnResult Keys::commit(const state::Txn& txn) {
+state::TxnResult InMemoryStore::commit(const state::Txn& txn) {
     state::TxnResult r;
     bool large = txn.changes.size() > txn_ops || txn.conditions.size() > txn_ops * 4;
     for (const auto& c : txn.changes)
@@ -108,12 +108,12 @@
     return r;
 }
 
-state::KeyValue Keys::get(const std::string& key) const {
+state::KeyValue InMemoryStore::get(const std::string& key) const {
     const auto it = items_.find(key);
     return it == items_.end() ? state::KeyValue{key, {}, 0} : it->second;
 }
 
-std::vector<state::KeyValue> Keys::range(const std::string& prefix) const {
+std::vector<state::KeyValue> InMemoryStore::range(const std::string& prefix) const {
     std::vector<state::KeyValue> out;
     for (const auto& [key, item] : items_)
         if (key.starts_with(prefix)) out.push_back(item);
@@ -141,17 +141,17 @@
     return nullptr;
 }
 
-void Worker::obey(const std::vector<Command>& commands, std::uint64_t answer_token) {
+void Worker::apply_commands(const std::vector<Command>& commands, std::uint64_t answer_token) {
     if (answer_token < fencing_token) return;
     fencing_token = answer_token;
     for (const auto& o : commands) {
         auto* t = find(o.id.uid, o.id.index);
         if (o.type == CommandType::run && !t) {
-            model::TaskReport fresh;
-            fresh.id = o.id;
-            fresh.attempt = o.attempt;
-            fresh.status = TaskStatus::fetching;
-            tasks.push_back(fresh);
+            model::TaskReport report;
+            report.id = o.id;
+            report.attempt = o.attempt;
+            report.status = TaskStatus::fetching;
+            tasks.push_back(report);
         } else if (o.type == CommandType::kill && t && t->attempt == o.attempt && t->status != TaskStatus::exited) {
             t->status = TaskStatus::exited;
             t->exit_reason = model::ExitReason::stopped;
@@ -213,7 +213,7 @@
     return keys.commit(txn).outcome == state::Outcome::ok;
 }
 
-void SchedulerHarness::tell(const std::string& uid) {
+void SchedulerHarness::sync_job(const std::string& uid) {
     for (const auto& key : {scheduler::work_key(uid, 0), scheduler::outcome_key(uid)})
         leader->job_changed(keys.get(key), now);
 }
@@ -221,7 +221,7 @@
 std::vector<Command> SchedulerHarness::heartbeat(Worker& w, bool answer_arrives) {
     auto commands = leader->handle_heartbeat(w.report(), now);
     EXPECT_TRUE(commands.has_value());
-    if (commands && answer_arrives) w.obey(*commands, term);
+    if (commands && answer_arrives) w.apply_commands(*commands, term);
     return commands.value_or(std::vector<Command>{});
 }
 
@@ -238,7 +238,7 @@
         return true;
     }
     for (const auto& key : r.failed)
-        if (key == election::term_key) return false;  // another leads: nothing of this one counts any more
+        if (key == election::term_key) return false;  // another controller leads, so the batch is obsolete
     for (const auto& key : r.failed) leader->record_reread(keys.get(key), now);
     leader->batch_failed(batch);
     return true;
@@ -270,7 +270,7 @@
     return any;
 }
 
-std::vector<std::string> SchedulerHarness::returns() const {
+std::vector<std::string> SchedulerHarness::machines_to_release() const {
     std::vector<std::string> out;
     for (const auto& r : leader->scale_in(now)) out.push_back(r.machine);
     return out;
@@ -288,8 +288,8 @@
     return j->tasks[task].machine->name;
 }
 
-bool SchedulerHarness::ordered(const std::vector<Command>& commands, CommandType type, const std::string& uid,
-                               std::uint32_t task) const {
+bool SchedulerHarness::has_command(const std::vector<Command>& commands, CommandType type, const std::string& uid,
+                                   std::uint32_t task) const {
     for (const auto& o : commands)
         if (o.type == type && o.id.uid == uid && o.id.index == task) return true;
     return false;
