--- a/src/api/job_checks.cpp
+++ b/src/api/job_checks.cpp
@@ -101,7 +101,7 @@
     while (!requested_.empty()) {
         const auto now = Clock::now();
         const auto next = last_comparison_ + comparison_interval;
-        const bool full_batch = requested_.size() >= record_format_.conditions() / 2;
+        const bool full_batch = requested_.size() >= record_format_.max_conditions() / 2;
         const bool too_many = comparisons_under_way_ >= max_comparisons_under_way;
         if (too_many || (comparisons_under_way_ > 0 && !full_batch && now < next)) {
             co_await wakeup_.wait(too_many ? Clock::duration(wait_for_any_answer) : next - now);
@@ -120,7 +120,7 @@
     Batch batch;
     std::set<std::string_view> uids;
     const auto now = Clock::now();
-    const std::size_t max_jobs = std::max<std::size_t>(1, record_format_.conditions() / 2);
+    const std::size_t max_jobs = std::max<std::size_t>(1, record_format_.max_conditions() / 2);
     for (; !requested_.empty() && uids.size() < max_jobs; requested_.pop_front()) {
         if (requested_.front()->deadline <= now) continue;
         batch.push_back(std::move(requested_.front()));
--- a/src/app/cluster_view.hpp
+++ b/src/app/cluster_view.hpp
@@ -31,7 +31,7 @@
     // What the view reads; all of it outlives the view.
     struct Sources {
         const config::Settings& settings;
-        const state::Service& store;
+        const state::RateLimitedStore& store;
         const election::Elector& elector;
         const election::Members& members;
         const recovery::RecoveryCoordinator& recovery;
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -74,8 +74,8 @@
 state::GuardedStore::Events Controller::store_events() {
     return {[this](const char* why) { recovery_.suspect_loss(why); },
             [this](const state::Change& change, std::uint64_t revision) { recovery_.record_written(change, revision); },
-            [this](const std::string& key) { return recovery_.replica().expected(key); }, explaining_outcome,
-            [this](const std::string& key) { recovery_.record_missing(key); }};
+            [this](const std::string& key) { return recovery_.replica().expected_mod_revision(key); },
+            explaining_outcome, [this](const std::string& key) { recovery_.record_missing(key); }};
 }
 
 election::Elector::Events Controller::elector_events() {
@@ -110,13 +110,13 @@
 recovery::RecoveryCoordinator::Callbacks Controller::recovery_callbacks() {
     recovery::RecoveryCoordinator::Callbacks callbacks;
     callbacks.time_of_day_ms = ports_.time_of_day_ms;
-    callbacks.begin = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
-    callbacks.new_term = [this](const char* why) { elector_.restart_term(why); };
+    callbacks.begin_term = [this](election::Term term, bool unsettled) { begin_term(term, unsettled); };
+    callbacks.restart_term = [this](const char* why) { elector_.restart_term(why); };
     using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
-    callbacks.outcomes = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
-                                OutcomeCoverage coverage) { outcomes_read(outcomes, began, coverage); };
-    callbacks.rebuilt = [this] { records_rebuilt(); };
-    callbacks.seen_term = [this] { return elector_.term(); };
+    callbacks.outcomes_read = [this](const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
+                                     OutcomeCoverage coverage) { outcomes_read(outcomes, began, coverage); };
+    callbacks.records_rebuilt = [this] { records_rebuilt(); };
+    callbacks.highest_seen_term = [this] { return elector_.term(); };
     callbacks.incarnation = incarnation_;
     return callbacks;
 }
@@ -224,7 +224,7 @@
     for (const auto& uid : status.cancellations.recent) cancellation_learned(uid);
     cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
     elector_.observe_term(status.term, status.leader);
-    record_format_.all_read(status.format);
+    record_format_.set_supported_format(status.format);
     recovery_.peer_status_received(status.member,
                                    {status.generation, status.replica_revision, status.history, status.rebuilding, {}});
     peers_.update(status, Clock::now());
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -28,7 +28,7 @@
 
 // What a controller is connected to.
 struct Ports {
-    state::Service& state;
+    state::RateLimitedStore& state;
     cloud::Cloud& cloud;
     worker::Workers& workers;
     // To every other controller that can be reached now.
--- a/src/app/record_committer.cpp
+++ b/src/app/record_committer.cpp
@@ -37,7 +37,7 @@
 awaitable<bool> RecordCommitter::commit_next_batch() {
     auto& scheduler = context_.scheduler;
     // In small portions: a large one would use up the writes of a second and keep users waiting for as long.
-    auto batch = scheduler.next_batch(context_.store.write_portion(), context_.environment.time_of_day_ms());
+    auto batch = scheduler.next_batch(context_.store.preferred_batch_size(), context_.environment.time_of_day_ms());
     if (batch.empty()) co_return false;
     state::Txn txn = batch.txn;
     auto result = co_await context_.store.commit(std::move(txn), RequestPriority::bookkeeping);
--- a/src/app/record_maintenance.cpp
+++ b/src/app/record_maintenance.cpp
@@ -21,7 +21,7 @@
     while (!context_.stopped) {
         co_await net::sleep_for(garbage_interval);
         if (context_.stopped || !context_.loaded) continue;
-        const auto garbage = context_.scheduler.take_garbage(context_.store.write_portion());
+        const auto garbage = context_.scheduler.take_garbage(context_.store.preferred_batch_size());
         if (garbage.changes.empty()) continue;
         auto txn = garbage;
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::garbage_collection);
@@ -51,7 +51,7 @@
         co_await net::sleep_for(reconciliation_interval);
     while (!context_.stopped) {
         auto txn = context_.conditioned_on_term();
-        txn.changes.push_back({recovery::unsettled_key, std::nullopt, 0});
+        txn.changes.push_back({recovery::reconciliation_pending_key, std::nullopt, 0});
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::bookkeeping);
         if (result.outcome == Outcome::ok) context_.environment.remembered.reconciliation_complete();
         if (result.outcome == Outcome::ok || result.outcome == Outcome::conflict) co_return;
--- a/src/app/record_watcher.cpp
+++ b/src/app/record_watcher.cpp
@@ -114,7 +114,7 @@
     std::size_t first = 0;
     while (first < open.size()) {
         // The number of conditions may fall from one try to the next.
-        const auto end = std::min(open.size(), first + context_.record_format.conditions());
+        const auto end = std::min(open.size(), first + context_.record_format.max_conditions());
         state::Txn txn;
         for (std::size_t i = first; i < end; ++i) txn.conditions.push_back({scheduler::outcome_key(open[i]), 0});
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::leadership);
@@ -145,7 +145,7 @@
         if (!context_.scheduler.knows(uid)) unread.push_back(std::move(uid));
     for (std::size_t at = 0; at < unread.size();) {
         state::Txn txn;
-        for (; at < unread.size() && txn.conditions.size() + 2 <= context_.record_format.conditions(); ++at) {
+        for (; at < unread.size() && txn.conditions.size() + 2 <= context_.record_format.max_conditions(); ++at) {
             txn.conditions.push_back({scheduler::outcome_key(unread[at]), 0});
             txn.conditions.push_back({scheduler::work_key(unread[at], 0), 0});
         }
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -78,7 +78,7 @@
     spdlog::info("event=members_enrolled enrolled={} of={} format={}", page.items.size(), names_.size(), common);
     // Without all their names it is not known whether all are there.
     if (names_.size() < controller_count_ || common < state::newest_format) co_return false;
-    record_format_.all_read(common);
+    record_format_.set_supported_format(common);
     co_return true;
 }
 
--- a/src/recovery/consistency_check.cpp
+++ b/src/recovery/consistency_check.cpp
@@ -38,7 +38,7 @@
     Finding out;
     out.key = key;
     const auto mark = replica_.mark();
-    out.expected = replica_.expected(key);
+    out.expected = replica_.expected_mod_revision(key);
     if (!out.expected) {
         out.verdict = Verdict::sound;
         co_return out;
--- a/src/recovery/deferred_outcomes.cpp
+++ b/src/recovery/deferred_outcomes.cpp
@@ -49,7 +49,7 @@
 }
 
 awaitable<void> DeferredOutcomes::restore_page() {
-    const auto marker = *context_.whole_marker;
+    const auto marker = *context_.complete_marker;
     auto& uids = pages_.begin()->second;
     while (!uids.empty() && may_write()) {
         auto batch = next_batch(uids);
@@ -66,7 +66,7 @@
 DeferredOutcomes::Batch DeferredOutcomes::next_batch(const std::vector<std::string>& uids) const {
     Batch batch;
     auto& txn = batch.txn;
-    const auto most = std::min(context_.store.write_portion(), context_.record_format.limits().txn_ops);
+    const auto most = std::min(context_.store.preferred_batch_size(), context_.record_format.limits().txn_ops);
     for (; batch.taken < uids.size() && txn.changes.size() < most; ++batch.taken) {
         const auto key = scheduler::outcome_key(uids[uids.size() - 1 - batch.taken]);
         const auto record = context_.replica.record(key);
--- a/src/recovery/late_records.cpp
+++ b/src/recovery/late_records.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 bool LateRecords::due() const {
-    return context_.previous_replica && !context_.late_records_added && context_.replica.whole() &&
+    return context_.previous_replica && !context_.late_records_added && context_.replica.is_complete() &&
            Clock::now() >= next_attempt_;
 }
 
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -58,9 +58,9 @@
   public:
     explicit Merger(const std::vector<ReplicaContents>& sources) {
         for (const auto& source : sources)
-            if (source.whole) newest_whole_ = std::max(newest_whole_, source.generation);
+            if (source.complete) newest_complete_ = std::max(newest_complete_, source.generation);
         for (const auto& source : sources)
-            if (source.generation >= newest_whole_) used_.push_back(&source);
+            if (source.generation >= newest_complete_) used_.push_back(&source);
     }
 
     Merged merge(const ReplicaContents& store) {
@@ -105,7 +105,7 @@
     // source lacks beside that it may have lost, or never had, for it began with a store that was set back.
     void drop_removed() {
         for (const auto* source : used_) {
-            if (!source->whole) continue;
+            if (!source->complete) continue;
             std::erase_if(newest_, [&](const auto& entry) {
                 const auto& [key, newest] = entry;
                 if (is_outcome_key(key) || newest.generation != source->generation ||
@@ -118,10 +118,10 @@
     }
 
     // Whether a whole source holds the job.
-    bool known_to_whole(const std::string& uid) const {
+    bool known_to_complete_source(const std::string& uid) const {
         return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* source) {
-            return source->whole && (source->records.contains(scheduler::outcome_key(uid)) ||
-                                     source->records.contains(scheduler::work_key(uid, 0)));
+            return source->complete && (source->records.contains(scheduler::outcome_key(uid)) ||
+                                        source->records.contains(scheduler::work_key(uid, 0)));
         });
     }
 
@@ -136,7 +136,7 @@
             if (!is_outcome_key(key)) {
                 const auto work = scheduler::parse_work_key(key);
                 // A store that was set back may show what had long been removed.
-                if (!work || known_to_whole(work->uid)) continue;
+                if (!work || known_to_complete_source(work->uid)) continue;
             }
             out_.records.emplace(key, record.text);
         }
@@ -162,7 +162,7 @@
         out_.unrecoverable.assign(unrecoverable_.begin(), unrecoverable_.end());
     }
 
-    std::uint64_t newest_whole_ = 0;
+    std::uint64_t newest_complete_ = 0;
     std::vector<const ReplicaContents*> used_;
     std::map<std::string, Newest> newest_;
     std::set<std::string> unrecoverable_;
--- a/src/recovery/merge.hpp
+++ b/src/recovery/merge.hpp
@@ -21,7 +21,7 @@
     std::uint64_t revision = 0;
     // It holds all that was on record at `revision`: what it lacks had been removed by then, or never existed. Records
     // beyond that revision may be among those it holds.
-    bool whole = false;
+    bool complete = false;
     std::map<std::string, Record> records;
 };
 
--- a/src/recovery/offer_list.cpp
+++ b/src/recovery/offer_list.cpp
@@ -51,7 +51,7 @@
 
 json::object offer_record(const Offer& offer) {
     return {{"generation", offer.generation}, {"id", offer.id},       {"revision", offer.revision},
-            {"whole", offer.whole},           {"pages", offer.pages}, {"at", offer.page_prefix}};
+            {"whole", offer.complete},        {"pages", offer.pages}, {"at", offer.page_prefix}};
 }
 
 Offer parse_offer(const json::object& record) {
@@ -59,7 +59,7 @@
     offer.generation = number_field(record, "generation");
     offer.revision = number_field(record, "revision");
     offer.id = string_field(record, "id");
-    offer.whole = bool_field(record, "whole");
+    offer.complete = bool_field(record, "whole");
     offer.pages = number_field(record, "pages");
     offer.page_prefix = string_field(record, "at");
     return offer;
--- a/src/recovery/offer_list.hpp
+++ b/src/recovery/offer_list.hpp
@@ -24,7 +24,7 @@
 struct Offer {
     std::uint64_t generation = 0, revision = 0;
     std::string id;
-    bool whole = false;
+    bool complete = false;
     std::uint64_t pages = 0;
     std::string page_prefix;  // each page's key is this and its number; empty in records of earlier versions
 };
--- a/src/recovery/outcome_digest.cpp
+++ b/src/recovery/outcome_digest.cpp
@@ -51,10 +51,10 @@
     digest.outcomes = replica.digest(digest.revision);
     digest.jobs = replica.jobs_at(digest.revision);
     const auto count = digest.outcomes.outcomes + digest.jobs;
-    if (!replica.whole() || count == written_count_) co_return;
-    digest.generation = context_.whole_marker->generation;
+    if (!replica.is_complete() || count == written_count_) co_return;
+    digest.generation = context_.complete_marker->generation;
     state::Txn txn;
-    txn.conditions = markers_.leader_conditions(*context_.whole_marker);
+    txn.conditions = markers_.leader_conditions(*context_.complete_marker);
     txn.changes.push_back({digest_key, digest_record(digest), 0});
     const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::bookkeeping);
     if (result.outcome == state::Outcome::ok) written_count_ = count;
--- a/src/recovery/record_follower.cpp
+++ b/src/recovery/record_follower.cpp
@@ -21,7 +21,7 @@
 awaitable<bool> RecordFollower::load_and_verify() {
     if (!following_) co_await read_changes();
     if (following_) co_await read_next_page();
-    if (!context_.replica.whole()) co_return false;
+    if (!context_.replica.is_complete()) co_return false;
     co_return co_await verify();
 }
 
@@ -50,7 +50,7 @@
     const auto here = co_await context_.store.range(scheduler::jobs_prefix, std::string(scheduler::jobs_prefix) + "~",
                                                     RequestPriority::bookkeeping);
     if (here.outcome != Outcome::ok) co_return;
-    const auto& marker = *context_.whole_marker;
+    const auto& marker = *context_.complete_marker;
     if (here.revision < marker.mod_revision) {
         context_.suspect_loss("its revisions went back: the marker is of " + std::to_string(marker.mod_revision) +
                               ", it stands at " + std::to_string(here.revision));
@@ -64,7 +64,7 @@
         replica.apply_own_write({key, boost::json::parse(record.text), 0}, record.mod_revision);
     following_ = true;
     last_page_key_ = std::string();
-    context_.callbacks.outcomes({}, began, OutcomeCoverage::after_gap);
+    context_.callbacks.outcomes_read({}, began, OutcomeCoverage::after_gap);
 }
 
 void RecordFollower::apply_changes(state::WatchResult seen, model::TimePoint began) {
@@ -77,11 +77,11 @@
         context_.record_missing(key);
     }
     // Any of these terms may have placed tasks by these records, except for those that rebuilt them.
-    context_.terms.add(context_.callbacks.seen_term());
+    context_.terms.add(context_.callbacks.highest_seen_term());
     std::vector<state::KeyValue> outcomes;
     for (std::size_t i = 0; i < seen.events.size(); ++i)
         if (!seen.deleted[i] && is_outcome_key(seen.events[i].key)) outcomes.push_back(std::move(seen.events[i]));
-    context_.callbacks.outcomes(outcomes, began, OutcomeCoverage::changes);
+    context_.callbacks.outcomes_read(outcomes, began, OutcomeCoverage::changes);
 }
 
 awaitable<void> RecordFollower::read_next_page() {
@@ -114,7 +114,7 @@
     const auto read = co_await digest_.read();
     if (read.outcome != Outcome::ok) co_return false;
     const auto stored = parse_digest(read.item);
-    if (stored && stored->generation == context_.whole_marker->generation) {
+    if (stored && stored->generation == context_.complete_marker->generation) {
         // The digest may count what ended while the pages were being read: it says nothing until the replica has
         // reached its revision.
         if (context_.replica.revision() < stored->revision) co_await read_changes();
--- a/src/recovery/record_keys.hpp
+++ b/src/recovery/record_keys.hpp
@@ -15,7 +15,7 @@
 // Pages of deferred outcomes. They count as on record until each has been restored under its own key.
 inline constexpr const char* deferred_prefix = "recovery/owed/";
 // Present while machines may run tasks that no record names. Removed by the leader that has reconciled all machines.
-inline constexpr const char* unsettled_key = "recovery/witness/unsettled";
+inline constexpr const char* reconciliation_pending_key = "recovery/witness/unsettled";
 
 inline bool is_outcome_key(std::string_view key) { return key.starts_with(scheduler::over_prefix); }
 
--- a/src/recovery/record_replica.cpp
+++ b/src/recovery/record_replica.cpp
@@ -64,7 +64,7 @@
 }
 
 void RecordReplica::erase(const std::string& key, std::uint64_t mod_revision) {
-    if (!whole_) removed_[key] = mod_revision;
+    if (!complete_) removed_[key] = mod_revision;
     if (const auto it = records_.find(key); it != records_.end() && it->second.mod_revision < mod_revision)
         records_.erase(it);
 }
@@ -78,7 +78,7 @@
 }
 
 void RecordReplica::pages_complete() {
-    whole_ = true;
+    complete_ = true;
     removed_.clear();
 }
 
@@ -94,7 +94,7 @@
         // may merely not be known yet.
         const auto work = scheduler::parse_work_key(e.key);
         const bool job_over =
-            work && (!whole_ || is_over(work->uid) || records_.contains(scheduler::outcome_key(work->uid)));
+            work && (!complete_ || is_over(work->uid) || records_.contains(scheduler::outcome_key(work->uid)));
         // A fragment without its first record belongs to no submission, and leaders remove such.
         const bool without_submission = work && !work->first() && !records_.contains(scheduler::work_key(work->uid, 0));
         if (!job_over && !without_submission) {
@@ -163,7 +163,7 @@
     return it != records_.end() && it->second.text.starts_with('{');
 }
 
-std::uint64_t RecordReplica::expected(const std::string& key) const {
+std::uint64_t RecordReplica::expected_mod_revision(const std::string& key) const {
     if (const auto work = scheduler::parse_work_key(key);
         work && (is_over(work->uid) || records_.contains(scheduler::outcome_key(work->uid))))
         return 0;
@@ -239,7 +239,7 @@
     out.generation = generation_;
     out.id = id_;
     out.revision = revision_;
-    out.whole = whole_ && after == 0;
+    out.complete = complete_ && after == 0;
     for (const auto& [key, record] : records_)
         if (record.mod_revision > after) out.records.emplace(key, record);
     for (const auto& [uid, outcome] : outcomes_) {
--- a/src/recovery/record_replica.hpp
+++ b/src/recovery/record_replica.hpp
@@ -70,7 +70,7 @@
     struct Mark {
         std::uint64_t history = 0, revision = 0;
     };
-    Mark mark() const { return {history_, whole_ ? revision_ : 0}; }
+    Mark mark() const { return {history_, complete_ ? revision_ : 0}; }
     bool holds(const Mark& mark) const { return mark.history == history_; }
     // Keys after `from` and up to `to` (empty: the last) that were held at the mark, are unchanged since, and are not
     // among the items read there, or are there with an older or unreadable value. Deferred outcomes are left out. The
@@ -79,11 +79,11 @@
                                           const std::vector<state::KeyValue>& items) const;
     // The mod revision under which the key must be on record, as far as is known. 0 if it need not be there: it is not
     // held, or its job is over and it may be removed, or it is deferred.
-    std::uint64_t expected(const std::string& key) const;
+    std::uint64_t expected_mod_revision(const std::string& key) const;
     // Whether the held value is an intact record: a value that was read damaged is kept as it is.
     bool readable(const std::string& key) const;
     // Holds everything that was on record at revision().
-    bool whole() const { return whole_; }
+    bool is_complete() const { return complete_; }
     std::uint64_t generation() const { return generation_; }
     const std::string& id() const { return id_; }
     std::uint64_t revision() const { return revision_; }
@@ -110,7 +110,7 @@
     std::uint64_t generation_ = 0, revision_ = 0;
     std::uint64_t history_ = 0;  // counts calls of begin(), for marks
     std::string id_;
-    bool whole_ = false;
+    bool complete_ = false;
     std::map<std::string, Record> records_;  // by key: work, and outcomes that have no compact form
     boost::unordered_flat_map<std::string, CompactOutcome> outcomes_;  // by uid
     std::map<std::string, std::uint64_t> removed_;  // while pages are still read: key -> mod revision of its removal
--- a/src/recovery/record_restorer.cpp
+++ b/src/recovery/record_restorer.cpp
@@ -71,7 +71,7 @@
 
 bool RecordRestorer::batch_full(const std::vector<state::Change>& batch) const {
     const auto most = std::min<std::size_t>(
-        {context_.store.write_portion(), context_.record_format.limits().txn_ops, max_batch_changes});
+        {context_.store.preferred_batch_size(), context_.record_format.limits().txn_ops, max_batch_changes});
     std::size_t bytes = 0;
     for (const auto& change : batch) bytes += state::RecordFormat::size_of(*change.value);
     return batch.size() >= most || bytes >= max_batch_bytes;
@@ -132,7 +132,7 @@
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::user);
         if (!context_.leadership.term) co_return false;
         if (result.outcome == Outcome::ok) {
-            context_.callbacks.outcomes({}, began, RecoveryCallbacks::OutcomeCoverage::changes);
+            context_.callbacks.outcomes_read({}, began, RecoveryCallbacks::OutcomeCoverage::changes);
             co_return true;
         }
         if (lost_leadership(result)) co_return false;
--- a/src/recovery/record_scrubber.cpp
+++ b/src/recovery/record_scrubber.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 awaitable<void> RecordScrubber::scrub_if_due() {
-    if (context_.leadership.term || !context_.replica.whole() || Clock::now() < next_scrub_) co_return;
+    if (context_.leadership.term || !context_.replica.is_complete() || Clock::now() < next_scrub_) co_return;
     next_scrub_ = Clock::now() + scrub_interval;
     co_await scrub_page();
 }
@@ -31,7 +31,7 @@
     const auto checked =
         co_await check_.read_page(scheduler::jobs_prefix, last_scrubbed_key_, RequestPriority::bookkeeping);
     const auto& page = checked.read;
-    if (page.outcome != Outcome::ok || context_.loss_suspected() || !context_.replica.whole()) co_return;
+    if (page.outcome != Outcome::ok || context_.loss_suspected() || !context_.replica.is_complete()) co_return;
     if (checked.went_back) {
         context_.suspect_revision_rollback(page.revision);
         co_return;
@@ -43,7 +43,7 @@
 
 awaitable<void> RecordScrubber::recheck_missing(state::GenerationMarker marker) {
     next_recheck_ = Clock::now() + retry_interval;
-    if (!context_.replica.whole() || !follower_.following()) co_return;
+    if (!context_.replica.is_complete() || !follower_.following()) co_return;
     Findings lost;
     const bool found = co_await find_lost(lost);
     if (!found) co_return;
@@ -55,7 +55,7 @@
     drop_explained(lost);
     for (const auto& finding : lost)
         spdlog::error("event=record_lost key={} expected={} present={} revision={} replica_revision={}", finding.key,
-                      context_.replica.expected(finding.key), finding.present, finding.revision,
+                      context_.replica.expected_mod_revision(finding.key), finding.present, finding.revision,
                       context_.replica.revision());
     if (lost.size() > max_restored_records)
         context_.suspect_loss(
@@ -83,7 +83,7 @@
     while (!keys.empty() && lost.size() <= max_restored_records) {
         auto key = keys.extract(keys.begin()).value();
         auto finding = co_await check_.recheck(std::move(key), RequestPriority::user);
-        if (context_.loss_suspected() || !context_.replica.whole()) co_return false;
+        if (context_.loss_suspected() || !context_.replica.is_complete()) co_return false;
         if (finding.verdict == Verdict::unclear) unclear.insert(finding.key);
         if (finding.verdict == Verdict::lost) lost.push_back(std::move(finding));
     }
@@ -95,7 +95,7 @@
     std::string after;
     for (;;) {
         const auto checked = co_await check_.read_page(scheduler::jobs_prefix, after, RequestPriority::user);
-        if (context_.loss_suspected() || !context_.replica.whole() || checked.read.outcome != Outcome::ok)
+        if (context_.loss_suspected() || !context_.replica.is_complete() || checked.read.outcome != Outcome::ok)
             co_return false;
         context_.missing_keys.insert(checked.missing.begin(), checked.missing.end());
         if (!checked.read.more || checked.read.items.empty()) co_return true;
@@ -109,13 +109,13 @@
     const auto revision = newest->revision;
     const auto& replica = context_.replica;
     if (replica.revision() < revision) co_await follower_.read_changes();
-    co_return !context_.loss_suspected() && replica.whole() && replica.revision() >= revision;
+    co_return !context_.loss_suspected() && replica.is_complete() && replica.revision() >= revision;
 }
 
 // Removed in good order, restored or written anew since the second read.
 void RecordScrubber::drop_explained(Findings& lost) const {
     std::erase_if(lost, [&](const Finding& finding) {
-        const auto expected = context_.replica.expected(finding.key);
+        const auto expected = context_.replica.expected_mod_revision(finding.key);
         return expected == 0 || expected > finding.revision || (expected <= finding.present && !finding.damaged);
     });
 }
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -19,7 +19,7 @@
 void log_sources(const GatheredOffers& gathered) {
     for (const auto& source : gathered.sources)
         spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", source.from,
-                      source.generation, source.revision, source.whole, source.records.size());
+                      source.generation, source.revision, source.complete, source.records.size());
     for (const auto& member : gathered.missing) spdlog::error("event=replica_offer_missing member={}", member);
 }
 
@@ -72,7 +72,7 @@
     marker.phase = GenerationMarker::Phase::merging;
     marker.rebuilder = context_.settings.member;
     marker.term = term;
-    marker.base_history = replica.whole() ? replica.id() : std::string();
+    marker.base_history = replica.is_complete() ? replica.id() : std::string();
     marker.base_revision = replica.revision();
     auto& rebuilders = marker.rebuilders;
     if (std::find(rebuilders.begin(), rebuilders.end(), term) == rebuilders.end()) rebuilders.push_back(term);
@@ -99,8 +99,8 @@
         item.mod_revision = deferred_mod_revision;
         outcomes.push_back(std::move(item));
     }
-    context_.callbacks.outcomes(outcomes, Clock::now(),
-                                all_replicas_gathered ? OutcomeCoverage::all : OutcomeCoverage::changes);
+    context_.callbacks.outcomes_read(outcomes, Clock::now(),
+                                     all_replicas_gathered ? OutcomeCoverage::all : OutcomeCoverage::changes);
 }
 
 awaitable<std::optional<std::size_t>> RecordsRebuilder::restore_all(GenerationMarker marker, const Merged& merged,
@@ -133,7 +133,7 @@
 awaitable<bool> RecordsRebuilder::finish(GenerationMarker marker, const GatheredOffers& gathered, const Merged& merged,
                                          std::size_t restored) {
     const auto unrecoverable = report_unrecoverable_jobs(merged) + merged.unrecoverable.size();
-    marker.phase = GenerationMarker::Phase::whole;
+    marker.phase = GenerationMarker::Phase::complete;
     marker.missing = gathered.missing;
     std::vector<state::Change> changes;
     changes.push_back({digest_key, std::nullopt, 0});
@@ -141,7 +141,7 @@
     const bool nothing_lost = marker.keys_only && restored == 0;
     marker.loss_exceeds_replica = !nothing_lost && (marker.loss_exceeds_replica || !gathered.placements_known);
     if (marker.loss_exceeds_replica)
-        changes.push_back({unsettled_key, boost::json::object{{"generation", marker.generation}}, 0});
+        changes.push_back({reconciliation_pending_key, boost::json::object{{"generation", marker.generation}}, 0});
     const auto mod_revision = co_await markers_.replace_with(marker, std::move(changes));
     if (!mod_revision) co_return false;
     spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
--- a/src/recovery/recovery_callbacks.hpp
+++ b/src/recovery/recovery_callbacks.hpp
@@ -14,9 +14,9 @@
     // Milliseconds since the epoch, by the wall clock.
     std::function<std::int64_t()> time_of_day_ms;
     // The records are complete, and this term may rely on them. `unsettled`: machines may run tasks without a record.
-    std::function<void(election::Term, bool unsettled)> begin;
+    std::function<void(election::Term, bool unsettled)> begin_term;
     // The current term began before the loss and must end; another one has to be won.
-    std::function<void(const char* why)> new_term;
+    std::function<void(const char* why)> restart_term;
     // How much the outcomes that are passed on cover.
     enum class OutcomeCoverage : std::uint8_t {
         after_gap,  // changes may have been missed before this read
@@ -24,11 +24,12 @@
         all,        // every outcome that any replica holds
     };
     // A read of the outcomes, sent at `began`, returned these.
-    std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, OutcomeCoverage coverage)> outcomes;
+    std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, OutcomeCoverage coverage)>
+        outcomes_read;
     // The records are complete again, and may differ from those before.
-    std::function<void()> rebuilt;
+    std::function<void()> records_rebuilt;
     // The highest term that this controller has seen.
-    std::function<std::uint64_t()> seen_term;
+    std::function<std::uint64_t()> highest_seen_term;
     // Of this controller; another one after each start.
     std::uint64_t incarnation = 0;
 };
--- a/src/recovery/recovery_context.cpp
+++ b/src/recovery/recovery_context.cpp
@@ -60,7 +60,7 @@
 
 std::vector<History> RecoveryContext::known_histories() const {
     std::vector<History> histories;
-    if (whole_marker) histories.push_back({whole_marker->generation, whole_marker->id});
+    if (complete_marker) histories.push_back({complete_marker->generation, complete_marker->id});
     if (replica.generation()) histories.push_back({replica.generation(), replica.id()});
     for (const auto& [member, status] : peers)
         if (status.generation) histories.push_back({status.generation, status.id});
--- a/src/recovery/recovery_context.hpp
+++ b/src/recovery/recovery_context.hpp
@@ -87,7 +87,7 @@
     RecoveryCallbacks callbacks;
     net::Wakeup wakeup;  // of the coordinator's loop
 
-    std::optional<state::GenerationMarker> whole_marker;  // the newest that was whole
+    std::optional<state::GenerationMarker> complete_marker;  // the newest that was whole
     model::TimePoint marker_read_at{};
     bool marker_recheck = false;  // the marker should be read again
     bool records_lost = false;    // a loss was declared, and the records are not rebuilt yet
@@ -119,7 +119,7 @@
     std::vector<History> known_histories() const;
     std::uint64_t newest_known_generation() const;
     // The records were rebuilt without the last placements, and not all machines have been reconciled since.
-    bool unsettled() const { return whole_marker && whole_marker->loss_exceeds_replica && !terms.reconciled; }
+    bool unsettled() const { return complete_marker && complete_marker->loss_exceeds_replica && !terms.reconciled; }
 };
 
 }  // namespace flintdale::recovery
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -42,7 +42,7 @@
 
 void RecoveryCoordinator::peer_status_received(const std::string& member, PeerRecordsStatus status) {
     status.received_at = Clock::now();
-    const auto generation = context_.whole_marker ? context_.whole_marker->generation : 0;
+    const auto generation = context_.complete_marker ? context_.complete_marker->generation : 0;
     if (status.rebuilding > generation && !context_.records_lost) {
         context_.marker_recheck = true;
         context_.wakeup.notify();
@@ -68,10 +68,10 @@
 // A controller that was out of reach when the records were rebuilt may hold more, and adds it when it is back. Users
 // who ask meanwhile are asked to come again, but not for so long that a job which does exist counts as forgotten.
 bool RecoveryCoordinator::knows_all_jobs() const {
-    const auto& marker = context_.whole_marker;
+    const auto& marker = context_.complete_marker;
     if (!marker || Clock::now() >= certain_at_) return true;
     return std::all_of(marker->missing.begin(), marker->missing.end(), [&](const std::string& member) {
-        if (member == context_.settings.member) return context_.replica.whole() && context_.late_records_added;
+        if (member == context_.settings.member) return context_.replica.is_complete() && context_.late_records_added;
         const auto peer = context_.peers.find(member);
         return peer != context_.peers.end() && peer->second.generation == marker->generation &&
                peer->second.complete_up_to > 0;
@@ -97,9 +97,9 @@
 
 awaitable<void> RecoveryCoordinator::act_on(state::KeyValue item, std::vector<History> known) {
     const auto marker = state::parse_marker(item);
-    const auto& previous = context_.whole_marker;
+    const auto& previous = context_.complete_marker;
     // A suspicion is resolved once somebody rebuilds, or has.
-    if (marker && (!marker->whole() || (previous && marker->generation > previous->generation)))
+    if (marker && (!marker->is_complete() || (previous && marker->generation > previous->generation)))
         context_.clear_suspicion();
     if (!marker) {
         context_.guarded_store.close();
@@ -107,14 +107,14 @@
             co_await declare_loss(item.mod_revision, 0, "the marker is damaged");
         else
             co_await handle_missing_marker(std::move(known));
-    } else if (!marker->whole()) {
+    } else if (!marker->is_complete()) {
         co_await recover(*marker);
     } else if (context_.loss_suspected()) {
         co_await declare_loss(marker->mod_revision, marker->generation, *context_.suspicion.why);
     } else if (contradicts(*marker, known)) {
         co_await declare_loss(marker->mod_revision, marker->generation, "another history than this was known before");
     } else {
-        co_await follow_whole_records(*marker);
+        co_await follow_complete_records(*marker);
     }
 }
 
@@ -168,8 +168,8 @@
 
 // --- while the records are whole ---
 
-awaitable<void> RecoveryCoordinator::follow_whole_records(GenerationMarker marker) {
-    const auto& previous = context_.whole_marker;
+awaitable<void> RecoveryCoordinator::follow_complete_records(GenerationMarker marker) {
+    const auto& previous = context_.complete_marker;
     if (!previous || previous->generation != marker.generation || previous->id != marker.id) {
         const bool begun = co_await begin_history(marker);
         if (!begun) {
@@ -177,7 +177,7 @@
             co_return;
         }
     }
-    context_.whole_marker = marker;
+    context_.complete_marker = marker;
     context_.records_lost = false;
     if (context_.loss_suspected()) co_return;
     if (!context_.replica_verified) {
@@ -204,12 +204,12 @@
         context_.previous_replica = std::move(next);
         context_.late_records_added = false;
     }
-    if (context_.whole_marker || context_.records_lost) {
+    if (context_.complete_marker || context_.records_lost) {
         // This controller may not have noticed the loss while it lasted.
         const bool noticed = context_.loss_noticed_at != model::TimePoint{};
         spdlog::info("event=records_recovered generation={} seconds={:.1f}", marker.generation,
                      noticed ? model::Seconds(Clock::now() - context_.loss_noticed_at).count() : 0.0);
-        context_.callbacks.rebuilt();
+        context_.callbacks.records_rebuilt();
     }
     reset_history();
     co_return true;
@@ -299,7 +299,7 @@
     bool marker_stands = false, unsettled = false;
     for (const auto& item : read.items) {
         marker_stands = marker_stands || (item.key == state::marker_key && item.mod_revision == marker.mod_revision);
-        unsettled = unsettled || item.key == unsettled_key;
+        unsettled = unsettled || item.key == reconciliation_pending_key;
     }
     if (!marker_stands) co_return false;
     context_.terms.reconciled = !unsettled;
@@ -312,7 +312,7 @@
     leadership.confirmed = true;
     context_.terms.last_led = term.number;
     context_.terms.add(term.number);
-    context_.callbacks.begin(term, unsettled);
+    context_.callbacks.begin_term(term, unsettled);
     co_return true;
 }
 
@@ -343,7 +343,7 @@
             co_await rebuilder_.rebuild(std::move(marker));
             co_return;
         }
-        context_.callbacks.new_term("the state service lost data");
+        context_.callbacks.restart_term("the state service lost data");
     } else if (marker.phase == GenerationMarker::Phase::merging && !marker.rebuilder.empty()) {
         co_await offers_.publish_once(std::move(marker));
     }
--- a/src/recovery/recovery_coordinator.hpp
+++ b/src/recovery/recovery_coordinator.hpp
@@ -77,11 +77,11 @@
     // Whether a job that is neither on record nor in the replica is certain never to have existed.
     bool knows_all_jobs() const;
     // The marker is known: it was whole since this controller started.
-    bool ready() const { return context_.whole_marker.has_value(); }
+    bool ready() const { return context_.complete_marker.has_value(); }
     State state() const;
     bool recovering() const { return context_.records_lost; }
     // The term under which the records were rebuilt last. Those below it need not be on record.
-    std::uint64_t recovered_in_term() const { return context_.whole_marker ? context_.whole_marker->term : 0; }
+    std::uint64_t recovered_in_term() const { return context_.complete_marker ? context_.complete_marker->term : 0; }
     const RecordReplica& replica() const { return context_.replica; }
 
   private:
@@ -94,7 +94,7 @@
     awaitable<void> declare_loss(std::uint64_t replaced_revision, std::uint64_t generation, std::string why);
 
     // While the records are whole.
-    awaitable<void> follow_whole_records(GenerationMarker marker);
+    awaitable<void> follow_complete_records(GenerationMarker marker);
     awaitable<bool> begin_history(GenerationMarker marker);
     void reset_history();
     awaitable<void> run_following_loop(GenerationMarker marker);
--- a/src/recovery/replica_offers.cpp
+++ b/src/recovery/replica_offers.cpp
@@ -27,7 +27,7 @@
     offer.generation = source.generation;
     offer.id = source.id;
     offer.revision = source.revision;
-    offer.whole = source.whole;
+    offer.complete = source.complete;
     offer.pages = pages;
     offer.page_prefix = std::move(page_prefix);
     return offer;
@@ -44,7 +44,7 @@
     contents.generation = offer.generation;
     contents.revision = offer.revision;
     contents.id = offer.id;
-    contents.whole = offer.whole;
+    contents.complete = offer.complete;
     // The version before did not name the prefix.
     const auto prefix =
         offer.page_prefix.empty() ? list_key(member) + "/" + std::to_string(number) + "." : offer.page_prefix;
@@ -56,7 +56,7 @@
                 contents.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
         } catch (const std::exception& e) {
             spdlog::error("event=replica_offer_unreadable member={} page={} why=\"{}\"", member, n, e.what());
-            contents.whole = false;
+            contents.complete = false;
         }
     }
     return contents;
@@ -87,7 +87,7 @@
     if (!list) co_return false;
     const bool rebuilds = marker.rebuilder == context_.settings.member;
     for (const auto& source : own_sources(rebuilds ? std::string() : marker.base_history, marker.base_revision)) {
-        if (source.records.empty() && !source.whole) continue;
+        if (source.records.empty() && !source.complete) continue;
         // Pages of an earlier incarnation may still be on their way, and must not take the place of these.
         const auto prefix = list_key(context_.settings.member) + "/" + std::to_string(context_.callbacks.incarnation) +
                             "." + std::to_string(list->offers.size()) + ".";
--- a/src/recovery/snapshot_writer.cpp
+++ b/src/recovery/snapshot_writer.cpp
@@ -21,7 +21,7 @@
 void SnapshotWriter::write_if_due(const RecordReplica& replica) {
     if (!file_.in_use()) return;
     const auto now = model::Clock::now();
-    if (!replica.whole() || now - written_at_ < snapshot_interval) return;
+    if (!replica.is_complete() || now - written_at_ < snapshot_interval) return;
     written_at_ = now;
     file_.put(replica.source("memory"));
 }
--- a/src/scheduler/job.cpp
+++ b/src/scheduler/job.cpp
@@ -107,7 +107,7 @@
     const auto text = boost::json::serialize(whole.at("spec"));
     std::vector<state::Change> fragments;
     for (std::size_t at = 0; at < text.size();) {
-        auto length = std::min(record_format.room(), text.size() - at);
+        auto length = std::min(record_format.max_value_bytes(), text.size() - at);
         boost::json::object fragment;
         for (;;) {
             // Not in the middle of a character.
@@ -115,8 +115,8 @@
                 --length;
             fragment["text"] = text.substr(at, length);
             const auto size = state::RecordFormat::size_of(fragment);
-            if (size <= record_format.room()) break;
-            length -= std::min(length - 1, (size - record_format.room() + 1) / 2 + 4);
+            if (size <= record_format.max_value_bytes()) break;
+            length -= std::min(length - 1, (size - record_format.max_value_bytes() + 1) / 2 + 4);
         }
         at += length;
         fragments.push_back({fragment_key(spec.uid, fragments.size() + 1), std::move(fragment), 0});
--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -206,7 +206,7 @@
 }
 
 net::awaitable<bool> StoreLink::send_request(double writes, state::RequestPriority priority, Outcome& seen) {
-    co_await limiter_.enter(writes, priority);
+    co_await limiter_.acquire(writes, priority);
     co_await net::sleep_for(model::to_clock(Seconds(events_.uniform(0.001, 0.008))));
     co_await delay();
     if (cut) {
--- a/src/simulator/state_service.hpp
+++ b/src/simulator/state_service.hpp
@@ -58,7 +58,7 @@
 };
 
 // One controller's connection to the store.
-class StoreLink : public state::Service {
+class StoreLink : public state::RateLimitedStore {
   public:
     StoreLink(net::Executor ex, Events& events, KeyValueStore& keys, const config::StoreLimits& limits,
               std::size_t nodes);
@@ -80,7 +80,7 @@
     net::awaitable<state::LeaseResult> grant(std::chrono::milliseconds ttl) override;
     net::awaitable<state::Outcome> renew(std::uint64_t lease) override;
     net::awaitable<void> revoke(std::uint64_t lease) override;
-    std::size_t write_portion() const override { return limiter_.write_portion(); }
+    std::size_t preferred_batch_size() const override { return limiter_.preferred_batch_size(); }
     std::chrono::duration<double> write_wait() const override { return limiter_.write_wait(); }
     void set_leading(bool leading) override;
     double take_write_demand() override { return limiter_.take_demand(); }
--- a/src/state/generation_marker.cpp
+++ b/src/state/generation_marker.cpp
@@ -44,7 +44,7 @@
     if (!marker.missing.empty()) record["missing"] = json::array(marker.missing.begin(), marker.missing.end());
     if (marker.term) record["term"] = marker.term;
     record["beyond_memory"] = marker.loss_exceeds_replica;
-    if (marker.whole()) return record;
+    if (marker.is_complete()) return record;
     if (marker.keys_only) record["keys_only"] = true;
     if (!marker.rebuilders.empty())
         record["rebuilders"] = json::array(marker.rebuilders.begin(), marker.rebuilders.end());
--- a/src/state/generation_marker.hpp
+++ b/src/state/generation_marker.hpp
@@ -14,13 +14,13 @@
 
 struct GenerationMarker {
     enum class Phase : std::uint8_t {
-        whole,      // the records are complete
+        complete,   // the records are complete
         merging,    // data were lost: the replicas of all controllers are gathered; nobody answers users or writes
         restoring,  // the gathered records are being written back, still by the rebuilding controller alone
     };
     std::uint64_t generation = 0;  // rises with every loss
     std::string id;                // distinguishes two histories with the same generation
-    Phase phase = Phase::whole;
+    Phase phase = Phase::complete;
     std::string rebuilder;            // member that rebuilds the records; empty while none does
     std::uint64_t term = 0;           // leader term of the rebuilder
     std::string base_history;         // merging: id of the history that the rebuilder's own replica is of
@@ -31,7 +31,7 @@
     std::vector<std::string> missing;       // whole: members that could not be asked during the rebuild
     std::uint64_t mod_revision = 0;         // of the marker's key; 0 until it is in the store
 
-    bool whole() const { return phase == Phase::whole; }
+    bool is_complete() const { return phase == Phase::complete; }
 };
 
 // The marker's value in the store. Fields that only matter during a rebuild are left out of a whole marker.
--- a/src/state/guarded_store.hpp
+++ b/src/state/guarded_store.hpp
@@ -53,7 +53,7 @@
     awaitable<LeaseResult> grant(std::chrono::milliseconds ttl) override { return inner_.grant(ttl); }
     awaitable<Outcome> renew(std::uint64_t lease) override { return inner_.renew(lease); }
     awaitable<void> revoke(std::uint64_t lease) override { return inner_.revoke(lease); }
-    std::size_t write_portion() const override { return inner_.write_portion(); }
+    std::size_t preferred_batch_size() const override { return inner_.preferred_batch_size(); }
     std::chrono::duration<double> write_wait() const override { return inner_.write_wait(); }
 
   private:
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -65,7 +65,7 @@
 
 awaitable<net::HttpAnswer> HttpStore::call(net::http::verb verb, std::string target, std::string body, double writes,
                                            RequestPriority priority, Clock::duration limit) {
-    co_await limiter_.enter(writes, priority);
+    co_await limiter_.acquire(writes, priority);
     auto answer = co_await http_.request(verb, std::move(target), std::move(body), limit);
     if (answer.never_sent) answer.status = http_unavailable;
     if (answer.status == 0 || answer.status == http_unavailable)
@@ -100,7 +100,7 @@
 void HttpStore::transaction_rejected(const Txn& txn, std::size_t largest_value, const std::string& answer) {
     spdlog::info("event=transaction_rejected changes={} conditions={} body={}", txn.changes.size(),
                  txn.conditions.size(), answer);
-    if (!record_format_.refused(largest_value, txn.changes.size(), txn.conditions.size())) return;
+    if (!record_format_.handle_rejection(largest_value, txn.changes.size(), txn.conditions.size())) return;
     spdlog::info("event=limits_lowered format={} why=\"a size was refused\"", record_format_.format());
     set_rates();
 }
@@ -118,7 +118,7 @@
 }
 
 awaitable<WatchResult> HttpStore::watch(std::string prefix, std::uint64_t from, std::chrono::milliseconds hold) {
-    co_await limiter_.enter(0, RequestPriority::leadership);
+    co_await limiter_.acquire(0, RequestPriority::leadership);
     auto target = protocol::watch_target(prefix, from, hold);
     auto answer =
         co_await watches_.request(net::http::verb::get, std::move(target), std::string(), hold + request_limit);
--- a/src/state/http_store.hpp
+++ b/src/state/http_store.hpp
@@ -10,7 +10,7 @@
 namespace flintdale::state {
 
 // See Store for the operations. An answer that the protocol does not allow counts as no answer.
-class HttpStore : public Service {
+class HttpStore : public RateLimitedStore {
   public:
     // `record_format` is informed when the store shows that its limits have changed; it must outlive the store.
     HttpStore(net::Executor ex, const config::Settings& settings, RecordFormat& record_format);
@@ -32,7 +32,7 @@
     awaitable<LeaseResult> grant(std::chrono::milliseconds ttl) override;
     awaitable<Outcome> renew(std::uint64_t lease) override;
     awaitable<void> revoke(std::uint64_t lease) override;
-    std::size_t write_portion() const override { return limiter_.write_portion(); }
+    std::size_t preferred_batch_size() const override { return limiter_.preferred_batch_size(); }
     std::chrono::duration<double> write_wait() const override { return limiter_.write_wait(); }
 
   private:
--- a/src/state/record_format.hpp
+++ b/src/state/record_format.hpp
@@ -30,7 +30,7 @@
 
     // Every controller is known to read this format. If it is the newest, the limits to come are kept to from now on,
     // for they come without notice.
-    void all_read(std::uint64_t format) {
+    void set_supported_format(std::uint64_t format) {
         if (format < newest_format) return;
         format_ = newest_format;
         limits_ = next_limits_;
@@ -39,23 +39,23 @@
     // The store has rejected a transaction for good: its largest value in bytes, and its number of changes and
     // conditions. If the present limits allow it and those to come do not, those to come are in force, and so every
     // controller has its new version. True if that switches to the newest format.
-    bool refused(std::size_t largest_value, std::size_t changes, std::size_t conditions) {
+    bool handle_rejection(std::size_t largest_value, std::size_t changes, std::size_t conditions) {
         const auto exceeds = [&](const config::StoreLimits& limits) {
             return largest_value > limits.value_bytes || changes > limits.txn_ops ||
                    conditions > limits.txn_ops * conditions_per_change;
         };
         if (newest() || exceeds(limits_) || !exceeds(next_limits_)) return false;
-        all_read(newest_format);
+        set_supported_format(newest_format);
         return true;
     }
 
     // The number of conditions that a transaction on jobs may have beside the one on the generation marker.
-    std::size_t conditions() const { return limits_.txn_ops * conditions_per_change - 1; }
+    std::size_t max_conditions() const { return limits_.txn_ops * conditions_per_change - 1; }
 
     // Whether the store takes such a value, with a margin: it may store a value with spaces and longer numbers.
-    bool fits(const boost::json::value& value) const { return size_of(value) <= room(); }
+    bool fits(const boost::json::value& value) const { return size_of(value) <= max_value_bytes(); }
     // The largest size that fits, in bytes.
-    std::size_t room() const { return limits_.value_bytes * 17 / 20; }
+    std::size_t max_value_bytes() const { return limits_.value_bytes * 17 / 20; }
     // The size of a value as it is sent, in bytes.
     static std::size_t size_of(const boost::json::value& value) { return boost::json::serialize(value).size(); }
 
--- a/src/state/request_limiter.cpp
+++ b/src/state/request_limiter.cpp
@@ -26,7 +26,7 @@
     return false;
 }
 
-awaitable<void> RequestLimiter::enter(double writes, RequestPriority priority) {
+awaitable<void> RequestLimiter::acquire(double writes, RequestPriority priority) {
     const auto now = Clock::now();
     auto& lane = writes > 0 ? writes_ : reads_;
     if (!lane.has_waiting(priority) && bucket_.take(writes, priority, now).count() == 0) {
@@ -102,7 +102,7 @@
     return std::chrono::duration<double>(waiting_writes_ / bucket_.write_rate());
 }
 
-std::size_t RequestLimiter::write_portion() const {
+std::size_t RequestLimiter::preferred_batch_size() const {
     return static_cast<std::size_t>(bucket_.write_rate() * portion_of_a_second);
 }
 
--- a/src/state/request_limiter.hpp
+++ b/src/state/request_limiter.hpp
@@ -15,10 +15,10 @@
     RequestLimiter(net::Executor ex, TokenBucket bucket);
 
     // Returns once a request with this number of writes may be sent; 0 writes: a read. The limiter must outlive it.
-    awaitable<void> enter(double writes, RequestPriority priority);
+    awaitable<void> acquire(double writes, RequestPriority priority);
 
     // How many writes a transaction that is not urgent should hold at most.
-    std::size_t write_portion() const;
+    std::size_t preferred_batch_size() const;
 
     // How long a write that is requested now would wait.
     std::chrono::duration<double> write_wait() const;
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -116,14 +116,14 @@
     virtual awaitable<void> revoke(std::uint64_t lease) = 0;
 
     // How many changes to put into one transaction, so that other requests need not wait long behind it.
-    virtual std::size_t write_portion() const { return 1000; }
+    virtual std::size_t preferred_batch_size() const { return 1000; }
 
     // How long a change that is requested now would wait before it is sent.
     virtual std::chrono::duration<double> write_wait() const { return std::chrono::duration<double>(0); }
 };
 
 // A store whose request limits the controllers of a cluster share.
-class Service : public Store {
+class RateLimitedStore : public Store {
   public:
     // The leader gets the larger share of the limits.
     virtual void set_leading(bool leading) = 0;
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -42,7 +42,7 @@
 }
 
 TEST_F(ElectionTest, LostResponseToTheWinningClaimIsDetected) {
-    store.lose_answers = 1;
+    store.lost_commit_answers = 1;
     Node one(io, store, "one");
     settle();
     EXPECT_EQ(one.won, std::vector<std::uint64_t>{1});
@@ -56,7 +56,7 @@
     ended.events.push_back({election::holder_key, {}, 2});
     ended.deleted.push_back(true);
     ended.revision = 2;
-    store.tell = ended;
+    store.next_watch_result = ended;
     Node two(io, store, "two");
     store.gets = 0;
     net::asio::co_spawn(io, store.revoke(1), net::asio::detached);  // the claim of the first ends while two watches
--- a/tests/golden_controller_test.cpp
+++ b/tests/golden_controller_test.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // The service in memory, to which this controller is always connected.
-class NotingService : public state::Service {
+class NotingService : public state::RateLimitedStore {
   public:
-    NotingStore store;
+    ChangeLoggingStore store;
 
     net::awaitable<state::GetResult> get(std::string key, state::RequestPriority priority) override {
         return store.get(std::move(key), priority);
@@ -74,7 +74,7 @@
 };
 
 class LoneController {
-    OwnTime time_;
+    SimulatedClock time_;
     net::asio::io_context io_;
     config::Settings settings_ = alone();
     config::OperatorSettings tunables_;
@@ -86,7 +86,7 @@
     NotingCloud cloud;
     std::string told;  // each request and its answer
 
-    void pass(double seconds) { time_.pass(io_, seconds); }
+    void pass(double seconds) { time_.advance(io_, seconds); }
     void ask(net::http::verb verb, const std::string& target, const std::string& body = {}) {
         net::Request request;
         request.verb = verb;
@@ -179,7 +179,7 @@
     lone.ask(verb::post, "/submissions/run-1/cancel");
     lone.ask(verb::get, "/submissions/run-2");
     expect_golden("controller_told.txt", lone.told);
-    expect_golden("controller_wrote.txt", lone.service.store.noted);
+    expect_golden("controller_wrote.txt", lone.service.store.change_log);
     expect_golden("controller_rented.txt", lone.cloud.noted);
 }
 
@@ -212,7 +212,7 @@
     lone.ask(net::http::verb::post, "/submissions", submission_body("run-new", "array", 1));
     lone.ask(net::http::verb::post, "/agent/beat", report_body(1, 0, "[]"));
     expect_golden("controller_told_of_what_was_left.txt", lone.told);
-    expect_golden("controller_wrote_over_what_was_left.txt", lone.service.store.noted);
+    expect_golden("controller_wrote_over_what_was_left.txt", lone.service.store.change_log);
 }
 
 }  // namespace flintdale::test
--- a/tests/golden_election_test.cpp
+++ b/tests/golden_election_test.cpp
@@ -18,20 +18,20 @@
 // A controller's own key, with its teams' figures.
 TEST(GoldenTest, AMembersKeyIsWrittenAndReadAsBefore) {
     net::asio::io_context io;
-    NotingStore store;
+    ChangeLoggingStore store;
     const auto settings = golden_settings("hearth-0", "hearth-1");
     state::RecordFormat record_format(settings);
     election::Members members(store, settings, record_format);
     net::asio::co_spawn(io, members.run(), net::asio::detached);
     settle(io);
-    expect_golden("members_key.txt", store.noted);
+    expect_golden("members_key.txt", store.change_log);
     EXPECT_FALSE(record_format.newest());
 }
 
 // A key that is there is known for its own, and the other's stricter figures hold.
 TEST(GoldenTest, MembersKeysOfAnEarlierVersionAreUnderstood) {
     net::asio::io_context io;
-    NotingStore store;
+    ChangeLoggingStore store;
     auto settings = golden_settings("hearth-0", "hearth-1");
     state::Txn txn;
     txn.changes = changes_in("members_key.txt");
@@ -43,7 +43,7 @@
     election::Members members(store, settings, record_format);
     net::asio::co_spawn(io, members.run(), net::asio::detached);
     settle(io);
-    EXPECT_EQ(store.noted, "") << "its own key is as it would write it";
+    EXPECT_EQ(store.change_log, "") << "its own key is as it would write it";
     EXPECT_TRUE(record_format.newest()) << "both read the newest format";
     settings.teams.at(0).cpus_limit = 200;
     settings.teams.at(0).cpus = 80;
@@ -63,7 +63,7 @@
 
 // The claim and the term as whoever wins them writes them, and the next term after one on record.
 TEST(GoldenTest, ClaimAndTermAreWrittenAndReadAsBefore) {
-    NotingStore store;
+    ChangeLoggingStore store;
     for (const std::int64_t time_of_day : {std::int64_t(1'700'000'000'123), std::int64_t(1)}) {
         net::asio::io_context io;
         election::Elector::Events events;
@@ -77,13 +77,13 @@
         EXPECT_TRUE(elector.leading());
         EXPECT_EQ(won.number, time_of_day == 1 ? 1'700'000'000'124u : 1'700'000'000'123u);
     }
-    expect_golden("claim_and_term.txt", store.noted);
+    expect_golden("claim_and_term.txt", store.change_log);
 }
 
 // A claim of another that is on record is respected, and its holder and term are known.
 TEST(GoldenTest, AnothersClaimIsUnderstood) {
     net::asio::io_context io;
-    NotingStore store;
+    ChangeLoggingStore store;
     state::Txn txn;
     txn.changes = changes_in("claim_and_term.txt");
     txn.changes.resize(2);
@@ -97,7 +97,7 @@
     EXPECT_FALSE(elector.leading());
     EXPECT_EQ(elector.leader(), "hearth-0");
     EXPECT_EQ(elector.term(), 1'700'000'000'123u);
-    EXPECT_EQ(store.noted, "");
+    EXPECT_EQ(store.change_log, "");
 }
 
 }  // namespace flintdale::test
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -19,7 +19,7 @@
 // In which everybody reads the newest format and values are short.
 state::RecordFormat newest_form(const config::Settings& settings) {
     state::RecordFormat record_format(settings);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     return record_format;
 }
 
@@ -121,7 +121,7 @@
     source.generation = 3;
     source.id = "hearth-0-1700000000123";
     source.revision = 7'000'000'100;
-    source.whole = true;
+    source.complete = true;
     for (const auto& record : archived_records()) {
         recovery::Record kept;
         kept.mod_revision = record.mod_revision;
--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -12,21 +12,21 @@
 
 // One controller's recovery coordinator on a service in memory, under a time of its own.
 class CoordinatorOnFakeStore {
-    OwnTime time_;  // first, for all others look at the clock when they are made
+    SimulatedClock time_;  // first, for all others look at the clock when they are made
 
   public:
     CoordinatorOnFakeStore(const std::string& own_name, const std::string& other_name)
         : settings_(golden_settings(own_name, other_name)), record_format_(settings_) {
-        store.quiet_watches = true;
+        store.empty_watches = true;
     }
 
-    NotingStore store;
+    ChangeLoggingStore store;
     bool began = false, began_unsettled = false;
     std::uint64_t seen_term = 0;
     std::vector<state::KeyValue> outcomes;  // that the coordinator reported
 
     void start() { net::asio::co_spawn(io_, recovery.run(), net::asio::detached); }
-    void pass(double seconds) { time_.pass(io_, seconds); }
+    void pass(double seconds) { time_.advance(io_, seconds); }
     std::uint64_t put(const std::vector<state::Change>& changes) {
         state::Txn txn;
         txn.changes = changes;
@@ -58,17 +58,17 @@
     recovery::RecoveryCoordinator::Callbacks callbacks() {
         recovery::RecoveryCoordinator::Callbacks out;
         out.time_of_day_ms = [] { return std::int64_t(1'700'000'000'123); };
-        out.begin = [this](election::Term, bool unsettled) {
+        out.begin_term = [this](election::Term, bool unsettled) {
             began = true;
             began_unsettled = unsettled;
         };
-        out.new_term = [](const char*) {};
-        out.outcomes = [this](const std::vector<state::KeyValue>& told, model::TimePoint,
-                              recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {
+        out.restart_term = [](const char*) {};
+        out.outcomes_read = [this](const std::vector<state::KeyValue>& told, model::TimePoint,
+                                   recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {
             outcomes.insert(outcomes.end(), told.begin(), told.end());
         };
-        out.rebuilt = [] {};
-        out.seen_term = [this] { return seen_term; };
+        out.records_rebuilt = [] {};
+        out.highest_seen_term = [this] { return seen_term; };
         out.incarnation = 7;
         return out;
     }
@@ -100,7 +100,7 @@
     out[0].value = work;
     const auto settings = golden_settings("hearth-0", "hearth-1");
     state::RecordFormat record_format(settings);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     model::JobSize size;
     size.tasks = 40;
     out[1].key = scheduler::outcome_key("run-3");
@@ -140,7 +140,7 @@
     bare.generation = 1;
     std::vector<state::GenerationMarker> out;
     using Phase = state::GenerationMarker::Phase;
-    for (const auto phase : {Phase::whole, Phase::merging, Phase::restoring})
+    for (const auto phase : {Phase::complete, Phase::merging, Phase::restoring})
         for (auto marker : {full, bare}) {
             marker.phase = phase;
             out.push_back(marker);
@@ -160,7 +160,7 @@
     former.loss_exceeds_replica = what == Offering::has_led_unsettled;
     service.put({marker_change(former)});
     state::Change unsettled;
-    unsettled.key = recovery::unsettled_key;
+    unsettled.key = recovery::reconciliation_pending_key;
     unsettled.value = boost::json::object();
     if (former.loss_exceeds_replica) service.put({unsettled});
     service.start();
@@ -178,10 +178,10 @@
         marker.base_history = former.id;
         marker.base_revision = records.size() - 1;
     }
-    service.store.noted.clear();
+    service.store.change_log.clear();
     service.put({marker_change(marker)});
     service.pass(3);
-    return service.store.noted;
+    return service.store.change_log;
 }
 
 }  // namespace
@@ -221,7 +221,7 @@
     service.pass(20);
     EXPECT_TRUE(service.began);
     EXPECT_TRUE(service.began_unsettled);
-    expect_golden("loss_and_rebuilding.txt", service.store.noted);
+    expect_golden("loss_and_rebuilding.txt", service.store.change_log);
     expect_golden("after_the_rebuilding.txt", service.keys(scheduler::jobs_prefix));
 }
 
@@ -248,7 +248,7 @@
         EXPECT_TRUE(service.began);
         EXPECT_EQ(service.began_unsettled, name != "offers_of_a_former_leader");
         expect_golden("after_the_rebuilding.txt", service.keys(scheduler::jobs_prefix));
-        expect_golden("rebuilt_from_" + name + ".txt", service.store.noted);
+        expect_golden("rebuilt_from_" + name + ".txt", service.store.change_log);
     }
 }
 
@@ -259,7 +259,7 @@
     const auto written = changes_in("loss_and_rebuilding.txt");
     service.put({marker_change(markers().at(0))});
     service.put(only(written, recovery::deferred_prefix));
-    service.put(only(written, recovery::unsettled_key));
+    service.put(only(written, recovery::reconciliation_pending_key));
     service.start();
     service.pass(1);
     const auto outcome = service.recovery.outcome_of("run-3");
@@ -270,7 +270,7 @@
     service.pass(10);
     EXPECT_TRUE(service.began);
     EXPECT_TRUE(service.began_unsettled);
-    expect_golden("owed_is_paid_back.txt", service.store.noted);
+    expect_golden("owed_is_paid_back.txt", service.store.change_log);
 }
 
 // An earlier version's digest, held against all records and against fewer: only then a loss is declared.
@@ -289,7 +289,7 @@
         service.pass(3);
         EXPECT_EQ(service.recovery.recovering(), lost);
         EXPECT_EQ(service.guarded.is_open(), !lost);
-        if (lost) expect_golden("declared_by_digest.txt", service.store.noted);
+        if (lost) expect_golden("declared_by_digest.txt", service.store.change_log);
     }
 }
 
--- a/tests/guarded_store_test.cpp
+++ b/tests/guarded_store_test.cpp
@@ -107,7 +107,7 @@
     inner.refuse = true;
     EXPECT_EQ(put("jobs/work/run-2").outcome, Outcome::refused);
     inner.refuse = false;
-    inner.lose_answers = 1;
+    inner.lost_commit_answers = 1;
     EXPECT_EQ(put("jobs/work/run-2").outcome, Outcome::unknown);
     EXPECT_EQ(put("jobs/work/run-3").outcome, Outcome::ok);
     EXPECT_TRUE(suspicions.empty());
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -17,7 +17,7 @@
     JobDependenciesTest() {
         m2.name = "n-000002";
         m2.zone = "b";
-        record_format.all_read(state::newest_format);
+        record_format.set_supported_format(state::newest_format);
     }
     void meet(Worker& w) {
         heartbeat(w);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -68,7 +68,7 @@
     EXPECT_FALSE(cut_off.record_format.newest());
     EXPECT_FALSE(cut_off.members.enrolled());
     store.refuse = false;
-    store.lose_answers = 1;
+    store.lost_commit_answers = 1;
     Node one(io, store, "one");
     settle();
     EXPECT_FALSE(one.record_format.newest()) << "it does not know yet whether its own key is there";
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -209,22 +209,22 @@
     s.next_store_limits->value_bytes = 2048;
     s.next_store_limits->txn_ops = 4;
     state::RecordFormat record_format(s);
-    EXPECT_FALSE(record_format.refused(2048, 4, 16)) << "both allow it: something else is wrong with it";
-    EXPECT_FALSE(record_format.refused(20'000, 1, 1)) << "neither allows it";
+    EXPECT_FALSE(record_format.handle_rejection(2048, 4, 16)) << "both allow it: something else is wrong with it";
+    EXPECT_FALSE(record_format.handle_rejection(20'000, 1, 1)) << "neither allows it";
     EXPECT_FALSE(record_format.newest());
-    EXPECT_TRUE(record_format.refused(100, 5, 6));
+    EXPECT_TRUE(record_format.handle_rejection(100, 5, 6));
     EXPECT_TRUE(record_format.newest());
     EXPECT_EQ(record_format.limits().value_bytes, 2048u);
-    EXPECT_FALSE(record_format.refused(3000, 1, 1)) << "no news any more";
+    EXPECT_FALSE(record_format.handle_rejection(3000, 1, 1)) << "no news any more";
     s.next_store_limits.reset();
     state::RecordFormat before(s);
-    EXPECT_FALSE(before.refused(15'000, 12, 48));
+    EXPECT_FALSE(before.handle_rejection(15'000, 12, 48));
     EXPECT_FALSE(before.newest()) << "no limits are to come";
 }
 
 TEST_F(RecordFormatUpgradeTest, RejectedRecordIsSplitAndBlocksNoOther) {
     // The limits have fallen, and nobody here knows of it yet but for the refusal: no limits to come were announced.
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     elect();
     accept(job("run-2", JobKind::array, 90));
     accept(job("run-3", JobKind::array, 1));
--- a/tests/record_replica_test.cpp
+++ b/tests/record_replica_test.cpp
@@ -30,13 +30,13 @@
     EXPECT_TRUE(replica.is_over("run-2"));
     EXPECT_EQ(replica.open_jobs(), (std::vector<std::string>{"run-1", "run-3"}));
     const auto all = replica.source("me");
-    EXPECT_TRUE(all.whole);
+    EXPECT_TRUE(all.complete);
     EXPECT_EQ(all.revision, 14u);
     EXPECT_EQ(all.records.at("jobs/work/run-1"),
               (Record{12, boost::json::serialize(boost::json::parse(work_record(2)))}));
     EXPECT_FALSE(all.records.contains("jobs/work/run-2"));
     EXPECT_EQ(replica.source("me", 11).records.size(), 1u) << "what is newer than that";
-    EXPECT_FALSE(replica.source("me", 11).whole);
+    EXPECT_FALSE(replica.source("me", 11).complete);
 }
 
 TEST(RecordReplicaTest, ImpossibleRemovalIsReportedAndNotApplied) {
--- a/tests/recovery_coordinator_test.cpp
+++ b/tests/recovery_coordinator_test.cpp
@@ -15,7 +15,7 @@
     model::TimePoint now{std::chrono::seconds(1000)};
     RecoveryCoordinatorTest() {
         model::Clock::simulated = &now;
-        store.quiet_watches = true;
+        store.empty_watches = true;
     }
     ~RecoveryCoordinatorTest() override { model::Clock::simulated = nullptr; }
 
@@ -34,12 +34,12 @@
     static recovery::RecoveryCoordinator::Callbacks callbacks() {
         recovery::RecoveryCoordinator::Callbacks callbacks;
         callbacks.time_of_day_ms = [] { return std::int64_t{1000}; };
-        callbacks.begin = [](election::Term, bool) {};
-        callbacks.new_term = [](const char*) {};
-        callbacks.outcomes = [](const std::vector<state::KeyValue>&, model::TimePoint,
-                                recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {};
-        callbacks.rebuilt = [] {};
-        callbacks.seen_term = [] { return std::uint64_t{0}; };
+        callbacks.begin_term = [](election::Term, bool) {};
+        callbacks.restart_term = [](const char*) {};
+        callbacks.outcomes_read = [](const std::vector<state::KeyValue>&, model::TimePoint,
+                                     recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {};
+        callbacks.records_rebuilt = [] {};
+        callbacks.highest_seen_term = [] { return std::uint64_t{0}; };
         callbacks.incarnation = 1;
         return callbacks;
     }
@@ -85,13 +85,13 @@
     marker.id = "rebuilt";
     marker.missing = {cluster.member};
     put(state::marker_key, state::marker_record(marker));
-    store.refuse_changes = "jobs/";
+    store.refused_prefix = "jobs/";
     pass(8);
     ASSERT_EQ(recovery.own_status().generation, 2u);
     EXPECT_EQ(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     EXPECT_FALSE(recovery.knows_all_jobs()) << "that a job never was";
     EXPECT_EQ(recovery.own_status().complete_up_to, 0u) << "nor may others be";
-    store.refuse_changes.clear();
+    store.refused_prefix.clear();
     pass(3);
     EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     EXPECT_TRUE(recovery.knows_all_jobs());
--- a/tests/request_limiter_test.cpp
+++ b/tests/request_limiter_test.cpp
@@ -38,7 +38,8 @@
     state::RequestLimiter limiter(io.get_executor(), state::TokenBucket(1e6, 1e-3, model::Clock::now()));
     std::string order;
     const auto enter = [&](double writes, RequestPriority priority, char mark) {
-        net::asio::co_spawn(io, limiter.enter(writes, priority), [&order, mark](std::exception_ptr) { order += mark; });
+        net::asio::co_spawn(io, limiter.acquire(writes, priority),
+                            [&order, mark](std::exception_ptr) { order += mark; });
         io.restart();
         io.poll();
     };
--- a/tests/submission_checks_test.cpp
+++ b/tests/submission_checks_test.cpp
@@ -75,7 +75,7 @@
             });
             simulated.poll();
         };
-        store.stall = 1;
+        store.hanging_commits = 1;
         ask("run-1");
         ask("run-2");
         for (int i = 0; i < 600 && answers.size() < 2; ++i) {
--- a/tests/submission_dependencies_test.cpp
+++ b/tests/submission_dependencies_test.cpp
@@ -10,13 +10,13 @@
     EXPECT_GT(r.retry_after, 0u);
     EXPECT_EQ(run(one.submit(body_after("run-3", "[]"))).status, 201u) << "none, empty and null are the same";
     EXPECT_EQ(run(one.submit(body_after("run-4", "null"))).status, 201u);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     EXPECT_EQ(run(two.submit(body_after("run-2", R"(["run-1","run-1"])"))).status, 201u);
     EXPECT_EQ(run(one.submit(body_after("run-2", R"(["run-999"])"))).status, 200u) << "a repetition, whatever it names";
 }
 
 TEST_F(SubmissionServiceTest, OnlyAcceptedJobsThatCanFinishMayBeDependencies) {
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     auto service = body("run-2");
     service.replace(service.find("array"), 5, "standing");
@@ -33,7 +33,7 @@
 }
 
 TEST_F(SubmissionServiceTest, AbortedIsReportedAsSoonAsADependencyIsCancelled) {
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(one.submit(body_after("run-2", R"(["run-1"])"))).status, 201u);
     ASSERT_EQ(run(two.submit(body_after("run-3", R"(["run-2"])"))).status, 201u);
@@ -47,7 +47,7 @@
 }
 
 TEST_F(SubmissionServiceTest, JobWithFinishedDependenciesIsPending) {
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.submit(body_after("run-2", R"(["run-1"])"))).status, 201u);
     end("run-1", "done");
@@ -60,14 +60,14 @@
 // Users were once told that a job was aborted, because a dependency was cancelled, before that was on record: it was in
 // the cache alone.
 TEST_F(SubmissionServiceTest, AbortByDependencyIsOnRecordBeforeItIsReported) {
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     api::SubmissionService small{io.get_executor(), store, cluster, record_format, memory, callbacks(), 1};
     ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
     ASSERT_EQ(run(two.submit(body_after("run-2", R"(["run-1"])"))).status, 201u);
     ASSERT_EQ(run(two.submit(body_after("run-3", R"(["run-2"])"))).status, 201u);
     EXPECT_EQ(polled_status(small, "run-3"), "pending");
     ASSERT_EQ(run(two.cancel("run-1")).status, 200u);
-    store.lose_answers = 0;
+    store.lost_commit_answers = 0;
     EXPECT_EQ(polled_status(small, "run-3"), "aborted");
     EXPECT_GT(store.keys.get("jobs/over/run-3").mod_revision, 0u);
     // Another controller reports the same, and so does this one while many other jobs are in its cache.
--- a/tests/submission_service_test.cpp
+++ b/tests/submission_service_test.cpp
@@ -19,12 +19,12 @@
 }
 
 TEST_F(SubmissionServiceTest, SubmissionThatWouldWaitLongIsRefusedWithRetryAfter) {
-    store.wait_for_writes = std::chrono::duration<double>(3.2);
+    store.write_wait_time = std::chrono::duration<double>(3.2);
     const auto refused = run(one.submit(body("run-1")));
     EXPECT_EQ(refused.status, 503u);
     EXPECT_EQ(refused.retry_after, 4u);
     EXPECT_EQ(store.commits, 0);
-    store.wait_for_writes = std::chrono::duration<double>(0.5);
+    store.write_wait_time = std::chrono::duration<double>(0.5);
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 201u);
 }
 
@@ -62,7 +62,7 @@
 }
 
 TEST_F(SubmissionServiceTest, AcceptedMeansOnRecordEvenIfTheResponseWasLost) {
-    store.lose_answers = 1;
+    store.lost_commit_answers = 1;
     EXPECT_EQ(run(one.submit(body("run-1"))).status, 200u);
     EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     store.refuse = true;
@@ -89,7 +89,7 @@
     next.next_store_limits->value_bytes = 2048;
     next.next_store_limits->txn_ops = 4;
     record_format = state::RecordFormat(next);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
     EXPECT_EQ(run(one.submit(many)).status, 201u);
     EXPECT_EQ(polled_status(two, "run-1"), "pending");
     ASSERT_EQ(run(two.cancel("run-1")).status, 200u);
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -8,14 +8,14 @@
 class FakeStore : public state::Store {
   public:
     Keys keys;
-    bool refuse = false;         // an outage, or a refusal of this controller alone
-    int lose_answers = 0;        // so many transactions are carried out, but their answers are lost
-    int stall = 0;               // so many transactions are carried out, and their answers never come
-    std::string refuse_changes;  // with this prefix, as under a limit on writes
+    bool refuse = false;          // an outage, or a refusal of this controller alone
+    int lost_commit_answers = 0;  // so many transactions are carried out, but their answers are lost
+    int hanging_commits = 0;      // so many transactions are carried out, and their answers never come
+    std::string refused_prefix;   // with this prefix, as under a limit on writes
     int commits = 0, gets = 0;
-    std::optional<state::WatchResult> tell;  // what the next watch is told
-    bool quiet_watches = false;              // watches tell that nothing has changed
-    std::chrono::duration<double> wait_for_writes{0};
+    std::optional<state::WatchResult> next_watch_result;  // what the next watch is told
+    bool empty_watches = false;                           // watches tell that nothing has changed
+    std::chrono::duration<double> write_wait_time{0};
 
     net::awaitable<state::GetResult> get(std::string key, state::RequestPriority) override {
         ++gets;
@@ -38,19 +38,19 @@
         state::TxnResult r;
         r.outcome = state::Outcome::refused;
         if (refuse) co_return r;
-        if (!refuse_changes.empty())
+        if (!refused_prefix.empty())
             for (const auto& c : txn.changes)
-                if (c.key.starts_with(refuse_changes)) co_return r;
+                if (c.key.starts_with(refused_prefix)) co_return r;
         r = keys.commit(txn);
-        if (stall > 0) {
-            --stall;
+        if (hanging_commits > 0) {
+            --hanging_commits;
             net::Timer never(ex);
             never.expires_at(model::TimePoint::max());
             auto [ec] = co_await never.async_wait(net::quietly);
             (void)ec;
         }
-        if (lose_answers > 0) {
-            --lose_answers;
+        if (lost_commit_answers > 0) {
+            --lost_commit_answers;
             r = state::TxnResult{};
         }
         co_return r;
@@ -58,8 +58,8 @@
     net::awaitable<state::WatchResult> watch(std::string, std::uint64_t, std::chrono::milliseconds) override {
         state::WatchResult r;
         r.outcome = state::Outcome::refused;
-        if (tell) r = *std::exchange(tell, std::nullopt);
-        if (quiet_watches && !refuse) r = {state::Outcome::ok, {}, {}, keys.revision()};
+        if (next_watch_result) r = *std::exchange(next_watch_result, std::nullopt);
+        if (empty_watches && !refuse) r = {state::Outcome::ok, {}, {}, keys.revision()};
         co_return r;
     }
     net::awaitable<state::LeaseResult> grant(std::chrono::milliseconds) override {
@@ -76,7 +76,7 @@
         txn.changes.push_back({election::holder_key, std::nullopt, 0});
         keys.commit(txn);
     }
-    std::chrono::duration<double> write_wait() const override { return wait_for_writes; }
+    std::chrono::duration<double> write_wait() const override { return write_wait_time; }
 
   private:
     std::uint64_t leases_ = 0;
--- a/tests/support/golden_store.hpp
+++ b/tests/support/golden_store.hpp
@@ -6,24 +6,24 @@
 
 namespace flintdale::test {
 
-class NotingStore : public FakeStore {
+class ChangeLoggingStore : public FakeStore {
   public:
-    std::string noted;
+    std::string change_log;
     net::awaitable<state::TxnResult> commit(state::Txn txn, state::RequestPriority priority) override {
         const auto changes = txn.changes;
         auto result = co_await FakeStore::commit(std::move(txn), priority);
-        if (result.outcome == state::Outcome::ok) noted += lines_of(changes);
+        if (result.outcome == state::Outcome::ok) change_log += lines_of(changes);
         co_return result;
     }
 };
 
-struct OwnTime {
+struct SimulatedClock {
     model::TimePoint now{std::chrono::seconds(1000)};
-    OwnTime() { model::Clock::simulated = &now; }
-    ~OwnTime() { model::Clock::simulated = nullptr; }
-    OwnTime(const OwnTime&) = delete;
+    SimulatedClock() { model::Clock::simulated = &now; }
+    ~SimulatedClock() { model::Clock::simulated = nullptr; }
+    SimulatedClock(const SimulatedClock&) = delete;
     // What happens on `io` while these seconds pass.
-    void pass(net::asio::io_context& io, double seconds) {
+    void advance(net::asio::io_context& io, double seconds) {
         for (double t = 0; t < seconds; t += 0.02) {
             now += std::chrono::milliseconds(20);
             io.restart();
--- a/tests/support/record_samples.hpp
+++ b/tests/support/record_samples.hpp
@@ -22,14 +22,14 @@
 }
 
 // Of the history "history-GENERATION".
-inline recovery::ReplicaContents replica_contents(std::uint64_t generation, std::uint64_t revision, bool whole,
+inline recovery::ReplicaContents replica_contents(std::uint64_t generation, std::uint64_t revision, bool complete,
                                                   std::map<std::string, recovery::Record> records) {
     recovery::ReplicaContents contents;
     contents.from = "somebody";
     contents.generation = generation;
     contents.id = "history-" + std::to_string(generation);
     contents.revision = revision;
-    contents.whole = whole;
+    contents.complete = complete;
     contents.records = std::move(records);
     return contents;
 }
--- a/tests/support/scheduler_harness.cpp
+++ b/tests/support/scheduler_harness.cpp
@@ -261,7 +261,7 @@
     next.next_store_limits->value_bytes = keys.value_bytes = value_bytes;
     next.next_store_limits->txn_ops = keys.txn_ops = txn_ops;
     record_format = state::RecordFormat(next);
-    record_format.all_read(state::newest_format);
+    record_format.set_supported_format(state::newest_format);
 }
 
 bool SchedulerHarness::place() {
