--- a/src/recovery/deferred_outcomes.cpp
+++ b/src/recovery/deferred_outcomes.cpp
@@ -66,11 +66,11 @@
 DeferredOutcomes::Batch DeferredOutcomes::next_batch(const std::vector<std::string>& uids) const {
     Batch batch;
     auto& txn = batch.txn;
-    const auto most = std::min(context_.store.preferred_batch_size(), context_.record_format.limits().txn_ops);
-    for (; batch.taken < uids.size() && txn.changes.size() < most; ++batch.taken) {
+    const auto max_changes = std::min(context_.store.preferred_batch_size(), context_.record_format.limits().txn_ops);
+    for (; batch.taken < uids.size() && txn.changes.size() < max_changes; ++batch.taken) {
         const auto key = scheduler::outcome_key(uids[uids.size() - 1 - batch.taken]);
         const auto record = context_.replica.record(key);
-        if (!record || record->mod_revision > deferred_mod_revision) continue;  // it is under its own key already
+        if (!record || record->mod_revision > deferred_mod_revision) continue;  // already stored under its own key
         txn.conditions.push_back({key, 0});
         txn.changes.push_back({key, boost::json::parse(record->text), 0});
     }
@@ -82,7 +82,8 @@
     for (const auto& condition : markers_.leader_conditions(marker))
         if (condition.key == election::term_key) txn.conditions.push_back(condition);
     const auto result = co_await context_.guarded_store.commit(std::move(txn), RequestPriority::bookkeeping);
-    // After a conflict somebody else's outcomes are there: the next read of the changes returns them.
+    // A conflict means that outcomes were written by another controller, or that the marker or the term changed. The
+    // marker is read again; the next read of the changes returns the other outcomes.
     if (result.outcome == Outcome::conflict) context_.marker_recheck = true;
     co_return result.outcome == Outcome::ok;
 }
--- a/src/recovery/deferred_outcomes.hpp
+++ b/src/recovery/deferred_outcomes.hpp
@@ -1,5 +1,5 @@
-// Outcomes of finished jobs that a rebuilding has put down in pages, and that are not back under their own keys yet.
-// They count as on record. The leader restores them a batch at a time, and removes a page once it is empty.
+// Outcomes of finished jobs that a rebuild has written in pages instead of under their own keys. They count as
+// stored. The leader restores them to their keys in batches, and removes a page once all of it is restored.
 #pragma once
 #include <map>
 #include <string>
@@ -14,17 +14,17 @@
     DeferredOutcomes(RecoveryContext& context, const MarkerStore& markers) : context_(context), markers_(markers) {}
 
     bool empty() const { return pages_.empty(); }
-    // Reads the pages into this and into a replica. False if that was not possible now.
+    // Reads the pages into this object and into a replica. False if they could not be read.
     awaitable<bool> read(RecordReplica& replica);
-    // Waits for the whole interval before the next restoring.
+    // Delays the next restore_if_due() by a full interval.
     void postpone();
-    // Restores part of a page under the outcomes' own keys. Only for the leader, and only if not empty.
+    // Restores part of a page to the outcomes' own keys. Only for the leader, and only if not empty.
     awaitable<void> restore_if_due();
 
   private:
     struct Batch {
         state::Txn txn;
-        std::size_t taken = 0;  // jobs from the end of the page that it settles
+        std::size_t taken = 0;  // number of jobs at the end of the page that are restored by this batch
     };
     awaitable<void> restore_page();
     Batch next_batch(const std::vector<std::string>& uids) const;
@@ -34,7 +34,7 @@
 
     RecoveryContext& context_;
     const MarkerStore& markers_;
-    std::map<std::string, std::vector<std::string>> pages_;  // key of a page -> jobs whose outcomes are in it
+    std::map<std::string, std::vector<std::string>> pages_;  // page key -> uids of the jobs whose outcomes it holds
     model::TimePoint next_restore_{};
 };
 
--- a/src/recovery/late_records.cpp
+++ b/src/recovery/late_records.cpp
@@ -19,7 +19,8 @@
     return work ? work->uid : uid_of_outcome_key(key);
 }
 
-// A job that was placed since is on machines that only its last leader knew of.
+// Whether the record is the first one of an unfragmented job without placed tasks. A job that was placed is not added:
+// only the last leader of that history knew the machines of its tasks.
 bool is_unplaced_job(const scheduler::WorkKey& work, const boost::json::value& value) {
     const auto& record = value.as_object();
     const auto* tasks = record.if_contains("tasks");
@@ -76,7 +77,7 @@
         txn.changes.push_back({key, std::move(value), 0});
         const auto result = co_await context_.guarded_store.commit(std::move(txn), RequestPriority::user);
         added += result.outcome == Outcome::ok;
-        // After a conflict another's record stands there, or a late write of this controller.
+        // After a conflict, the key holds a record of another controller or a delayed write of this one.
         all = all && (result.outcome == Outcome::ok || result.outcome == Outcome::conflict ||
                       result.outcome == Outcome::too_large);
         if (context_.loss_suspected()) co_return false;
--- a/src/recovery/late_records.hpp
+++ b/src/recovery/late_records.hpp
@@ -1,6 +1,6 @@
-// Records that only this controller holds, of a history that ended while it was out of reach: others rebuilt without
-// its replica. What it alone had accepted or cancelled is put on record when it is back. Nobody else can have answered
-// otherwise, for nobody else knew of it.
+// Adds records of a previous history that only this controller holds, because the records were rebuilt without its
+// replica while it was unreachable. Jobs that only it accepted or cancelled are stored once it is back. No other
+// controller can have given users a contradicting answer, because none knew of them.
 #pragma once
 #include "recovery/recovery_context.hpp"
 
@@ -12,18 +12,18 @@
 
     // Whether an attempt to add the records is due.
     bool due() const;
-    // Until all records are added, nobody here or elsewhere is certain that a job never existed.
+    // Makes one attempt. Until all records are added, no controller may state that an unknown job never existed.
     awaitable<void> add();
-    // Drops the previous replica some time after its records were added: if data are lost again just after a
-    // rebuilding, it is still the best there is.
+    // Drops the previous replica 60 s after its records were added: if data are lost again just after a rebuild, it is
+    // still the best source.
     void drop_previous_replica_if_due();
 
   private:
-    // Whether the present replica lacks what this record says.
+    // Whether the current replica does not hold the job, or holds it open and this record is its outcome.
     bool missing(const std::string& key) const;
-    // The record ends a job that is open by the present replica.
+    // Whether this record is the outcome of a job that is open in the current replica.
     bool is_late_cancellation(const std::string& key) const;
-    // False if some records were refused or had no answer.
+    // False if some writes were refused or not answered.
     awaitable<bool> add_all();
 
     RecoveryContext& context_;
--- a/src/recovery/marker_store.hpp
+++ b/src/recovery/marker_store.hpp
@@ -12,25 +12,26 @@
     explicit MarkerStore(RecoveryContext& context) : context_(context) {}
 
     awaitable<state::GetResult> read();
-    // Replaces the marker whose mod revision the given one carries. Returns the new mod revision, or 0 if the marker
-    // has to be read again: another one stands there, or there was no answer.
+    // Writes the marker if the stored one still has `marker.mod_revision`. Returns the new mod revision, or 0 if the
+    // marker has to be read again: it was replaced meanwhile, or the request failed.
     awaitable<std::uint64_t> replace(state::GenerationMarker marker);
-    // The same, with further changes in the same transaction, which come before the marker's.
+    // The same, with further changes in the same transaction, ordered before the marker's.
     awaitable<std::uint64_t> replace_with(state::GenerationMarker marker, std::vector<state::Change> changes);
 
-    // Hold while this marker stands and this controller's term lasts. Cannot hold if it has no term.
+    // Conditions that hold while this marker is unchanged and this controller's term lasts. They cannot hold without a
+    // term.
     std::vector<state::Condition> leader_conditions(const state::GenerationMarker& marker) const;
 
-    // A marker of that generation with a new identity.
+    // A marker of that generation with a new id.
     state::GenerationMarker make_marker(std::uint64_t generation) const;
 
   private:
     RecoveryContext& context_;
 };
 
-// Whether a history was known, when this marker was asked for, that it cannot belong to. What became known while the
-// answer was on its way must not be in `known`: the marker may have been made, or replaced, meanwhile. Whatever is
-// concluded is written on the condition that the marker still stands.
+// Whether the marker contradicts a known history: one of a later generation, or another one of the same generation.
+// `known` must be taken before the marker is requested, because the marker may be created or replaced while the request
+// is in flight. Any write that follows from the result is conditioned on the marker being unchanged.
 bool contradicts(const state::GenerationMarker& marker, const std::vector<History>& known);
 
 }  // namespace flintdale::recovery
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -30,8 +30,8 @@
     return model::JobState::open;
 }
 
-// Two sources of one history cannot hold different values of one revision of a key, but for damage or a history that
-// forked. Then done takes precedence over cancelled, and a higher attempt over a lower one.
+// Decides between two values of one key with the same generation and mod revision, which only damage or a forked
+// history can cause: done takes precedence over cancelled, and a higher attempt over a lower one.
 auto precedence(const std::string& key, const std::string& text) {
     std::uint64_t rank = 0;
     if (is_outcome_key(key)) {
@@ -53,7 +53,7 @@
     return o && (!is_outcome_key(key) || state_of(text) != model::JobState::open);
 }
 
-// One merge. The steps of merge() come in the order in which they must be taken.
+// The state of one merge. merge() calls the steps in the required order.
 class Merger {
   public:
     explicit Merger(const std::vector<ReplicaContents>& sources) {
@@ -73,7 +73,7 @@
     }
 
   private:
-    // The newest value of a key so far, and the generation of its source.
+    // The newest value of a key found so far, and the generation of its source.
     struct Newest {
         std::uint64_t generation = 0;
         const Record* record = nullptr;
@@ -101,8 +101,9 @@
             }
     }
 
-    // Only work of jobs that are over is ever removed, and only whoever knows the outcome can have seen that: what a
-    // source lacks beside that it may have lost, or never had, for it began with a store that was set back.
+    // Drops work records that were removed before the loss. Work is only removed once its job has an outcome, so a
+    // complete source must hold that outcome. A source that lacks a record without holding the outcome may have lost
+    // it. It may also never have had it, if it was loaded from a store that had been reset to an earlier state.
     void drop_removed() {
         for (const auto* source : used_) {
             if (!source->complete) continue;
@@ -117,7 +118,7 @@
         }
     }
 
-    // Whether a whole source holds the job.
+    // Whether a complete source holds the job.
     bool known_to_complete_source(const std::string& uid) const {
         return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* source) {
             return source->complete && (source->records.contains(scheduler::outcome_key(uid)) ||
@@ -125,7 +126,7 @@
         });
     }
 
-    // Adds what only the store holds.
+    // Adds records that only the store holds.
     void add_stored(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
@@ -135,14 +136,14 @@
             if (out_.records.contains(key)) continue;
             if (!is_outcome_key(key)) {
                 const auto work = scheduler::parse_work_key(key);
-                // A store that was set back may show what had long been removed.
+                // A store that was reset to an earlier state may show records that had been removed.
                 if (!work || known_to_complete_source(work->uid)) continue;
             }
             out_.records.emplace(key, record.text);
         }
     }
 
-    // Drops work of jobs that are done, and work whose first record no source holds: that submission is lost.
+    // Drops work of done jobs, and work of jobs whose first record no source holds: their submission is lost.
     void drop_finished_and_orphaned_work() {
         std::set<std::string> lost;
         std::erase_if(out_.records, [&](const auto& entry) {
--- a/src/recovery/offer_list.cpp
+++ b/src/recovery/offer_list.cpp
@@ -20,7 +20,7 @@
 
 std::set<std::uint64_t> seen_terms(const json::object& record) {
     std::set<std::uint64_t> terms;
-    // The version before named the highest term only.
+    // An earlier version stored only the highest term.
     if (const auto highest = number_field(record, "saw")) terms.insert(highest);
     if (const auto* seen = record.if_contains("seen"); seen && seen->is_array())
         for (const auto& term : seen->get_array())
@@ -34,7 +34,7 @@
     return {{"for", list.made_for},
             {"led", list.last_led},
             {"seen", json::array(list.seen_terms.begin(), list.seen_terms.end())},
-            {"unsettled", list.unsettled},
+            {"unsettled", list.reconciliation_pending},
             {"sources", list.offers}};
 }
 
@@ -43,7 +43,7 @@
     list.made_for = number_field(record, "for");
     list.last_led = number_field(record, "led");
     list.seen_terms = seen_terms(record);
-    list.unsettled = bool_field(record, "unsettled");
+    list.reconciliation_pending = bool_field(record, "unsettled");
     if (const auto* offers = record.if_contains("sources"); offers && offers->is_array())
         list.offers = offers->get_array();
     return list;
--- a/src/recovery/outcome_digest.hpp
+++ b/src/recovery/outcome_digest.hpp
@@ -1,5 +1,5 @@
-// A digest of the outcomes on record, kept in the key-value store. Outcomes are never removed, so as many as there were
-// at some revision there must always be: a controller that starts without a replica finds a loss by it.
+// A digest of the stored outcomes, kept in the key-value store. Outcomes are never removed, so those that were counted
+// at some revision must all exist later. A controller that starts without a replica detects a loss by this digest.
 #pragma once
 #include <optional>
 
@@ -7,15 +7,15 @@
 
 namespace flintdale::recovery {
 
-// The digest as it is on record.
+// The stored digest.
 struct StoredDigest {
     std::uint64_t generation = 0;
-    std::uint64_t revision = 0;      // at which the digest was taken
-    RecordReplica::Digest outcomes;  // on record at that revision
-    std::uint64_t jobs = 0;          // open or over, on record at that revision
+    std::uint64_t revision = 0;      // the store's revision at which the digest was taken
+    RecordReplica::Digest outcomes;  // stored at that revision
+    std::uint64_t jobs = 0;          // open or over, stored at that revision
 };
 
-// Nothing if the key is absent or holds no digest.
+// Nullopt if the key is absent or holds no digest.
 std::optional<StoredDigest> parse_digest(const state::KeyValue& item);
 
 class OutcomeDigest {
@@ -25,8 +25,8 @@
     awaitable<state::GetResult> read();
     // Writes the digest if it changed since the last write. Only for the leader.
     awaitable<void> write_if_due();
-    // The next write is made even if the counts are the same: an outcome has another mod revision than before, or
-    // the digest was removed.
+    // Makes the next write happen even if the counts are the same: an outcome has a new mod revision, or the digest was
+    // removed.
     void invalidate() { written_count_ = 0; }
 
   private:
@@ -34,7 +34,7 @@
 
     RecoveryContext& context_;
     const MarkerStore& markers_;
-    std::uint64_t written_count_ = 0;  // outcomes and jobs that the last digest counted
+    std::uint64_t written_count_ = 0;  // outcomes plus jobs in the last written digest
     model::TimePoint next_write_{};
 };
 
--- a/src/recovery/record_follower.cpp
+++ b/src/recovery/record_follower.cpp
@@ -37,7 +37,7 @@
         co_return;
     }
     if (changes.seen.outcome != Outcome::ok) co_return;
-    if (changes.went_back) {
+    if (changes.rolled_back) {
         context_.suspect_revision_rollback(changes.seen.revision);
         co_return;
     }
@@ -46,21 +46,21 @@
 
 awaitable<void> RecordFollower::start_following() {
     const auto began = Clock::now();
-    // No key comes after this one: the answer only tells the store's revision.
-    const auto here = co_await context_.store.range(scheduler::jobs_prefix, std::string(scheduler::jobs_prefix) + "~",
-                                                    RequestPriority::bookkeeping);
-    if (here.outcome != Outcome::ok) co_return;
+    // No key follows this one: the request only reads the store's revision.
+    const auto probe = co_await context_.store.range(scheduler::jobs_prefix, std::string(scheduler::jobs_prefix) + "~",
+                                                     RequestPriority::bookkeeping);
+    if (probe.outcome != Outcome::ok) co_return;
     const auto& marker = *context_.complete_marker;
-    if (here.revision < marker.mod_revision) {
+    if (probe.revision < marker.mod_revision) {
         context_.suspect_loss("its revisions went back: the marker is of " + std::to_string(marker.mod_revision) +
-                              ", it stands at " + std::to_string(here.revision));
+                              ", it stands at " + std::to_string(probe.revision));
         co_return;
     }
     auto& replica = context_.replica;
-    const auto before = replica.source("so far");
-    replica.begin(marker.generation, marker.id, here.revision);
-    // Deferred outcomes, and what this controller has written meanwhile.
-    for (const auto& [key, record] : before.records)
+    const auto previous = replica.source("so far");
+    replica.begin(marker.generation, marker.id, probe.revision);
+    // Keeps deferred outcomes and records that this controller has written meanwhile.
+    for (const auto& [key, record] : previous.records)
         replica.apply_own_write({key, boost::json::parse(record.text), 0}, record.mod_revision);
     following_ = true;
     last_page_key_ = std::string();
@@ -71,12 +71,12 @@
     auto& replica = context_.replica;
     for (const auto& event : seen.events)
         if (is_outcome_key(event.key) && replica.outcome_of(uid_of_outcome_key(event.key)))
-            digest_.invalidate();  // an outcome that was restored has a new mod revision
+            digest_.invalidate();  // a restored outcome has a new mod revision
     for (const auto& key : replica.apply_changes(seen)) {
         spdlog::error("event=unexpected_record_removal key={}", key);
         context_.record_missing(key);
     }
-    // Any of these terms may have placed tasks by these records, except for those that rebuilt them.
+    // Any of these terms may have placed tasks based on these records, except those that rebuilt them.
     context_.terms.add(context_.callbacks.highest_seen_term());
     std::vector<state::KeyValue> outcomes;
     for (std::size_t i = 0; i < seen.events.size(); ++i)
@@ -91,8 +91,8 @@
             co_await check_.read_page(scheduler::jobs_prefix, *last_page_key_, RequestPriority::bookkeeping);
         const auto& page = checked.read;
         if (page.outcome != Outcome::ok || !last_page_key_) co_return;
-        if (checked.went_back) {
-            // To take this page for all there is would be to forget what was lost.
+        if (checked.rolled_back) {
+            // A page from before the known revision must not be loaded: the lost records would be forgotten.
             context_.suspect_revision_rollback(page.revision);
             co_return;
         }
@@ -115,8 +115,8 @@
     if (read.outcome != Outcome::ok) co_return false;
     const auto stored = parse_digest(read.item);
     if (stored && stored->generation == context_.complete_marker->generation) {
-        // The digest may count what ended while the pages were being read: it says nothing until the replica has
-        // reached its revision.
+        // The digest may count jobs that ended while the pages were being read, so it can only be compared once the
+        // replica has reached the digest's revision.
         if (context_.replica.revision() < stored->revision) co_await read_changes();
         if (context_.loss_suspected() || !following_ || context_.replica.revision() < stored->revision) co_return false;
         if (!matches(*stored)) co_return false;
--- a/src/recovery/record_pages.cpp
+++ b/src/recovery/record_pages.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t initial_page_records = 256;  // halved where a value cannot hold them
+constexpr std::size_t initial_page_records = 256;  // halved until the page fits a value
 
 }  // namespace
 
--- a/src/recovery/record_pages.hpp
+++ b/src/recovery/record_pages.hpp
@@ -1,4 +1,4 @@
-// Pages of records, packed as text into single values of the key-value store.
+// Packs many records as compressed text into single values (pages) of the key-value store.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,10 +10,11 @@
 
 namespace flintdale::recovery {
 
-// The records in the order of their keys, each page small enough for a value.
+// Encodes the records in the order of their keys into pages that fit the store's value size limit.
 std::vector<std::string> encode_pages(const ReplicaContents& contents, const state::RecordFormat& record_format);
 
-// The records of one page. Throws wire::DecodeError, or what Boost.JSON throws for a value that is no text.
+// Decodes the records of one page. Throws wire::DecodeError, or the exception of Boost.JSON if the value is not a
+// string.
 std::vector<wire::ArchivedRecord> decode_page(const state::KeyValue& page);
 
 }  // namespace flintdale::recovery
--- a/src/recovery/record_replica.cpp
+++ b/src/recovery/record_replica.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-// Where an outcome holds the kind and the number of tasks, nothing else in it is ever read again.
+// An outcome that contains the kind and the number of tasks can be compacted: no other field of it is read again.
 bool is_compactable(const json::object& o) { return o.if_contains("shape") && o.if_contains("shards"); }
 
 }  // namespace
@@ -58,7 +58,7 @@
             records_.erase(key);
             return;
         } catch (const std::exception&) {
-            // Kept as it is: the controller that rebuilds finds that it cannot be read, and may have a better one.
+            // Kept unchanged: the rebuilding controller detects that it is unreadable, and may have an intact copy.
         }
     records_[key] = {mod_revision, json::serialize(value)};
 }
@@ -90,16 +90,16 @@
             store(e.key, e.value, e.mod_revision);
             continue;
         }
-        // Work is removed when a job is over, and outcomes never are. While not everything has been read, an outcome
-        // may merely not be known yet.
+        // Work is removed once its job is over; outcomes are never removed. Until all pages have been read, the outcome
+        // may not be known yet.
         const auto work = scheduler::parse_work_key(e.key);
         const bool job_over =
             work && (!complete_ || is_over(work->uid) || records_.contains(scheduler::outcome_key(work->uid)));
-        // A fragment without its first record belongs to no submission, and leaders remove such.
+        // Leaders also remove fragments whose first record is missing, because they belong to no submission.
         const bool without_submission = work && !work->first() && !records_.contains(scheduler::work_key(work->uid, 0));
         if (!job_over && !without_submission) {
             unexpected.push_back(e.key);
-            continue;  // the replica keeps it, for it may have to be restored
+            continue;  // the record is kept, because it may have to be restored
         }
         erase(e.key, e.mod_revision);
     }
@@ -177,16 +177,17 @@
     return n;
 }
 
-std::vector<std::string> RecordReplica::missing_from(const Mark& mark, const std::string& from, const std::string& to,
+std::vector<std::string> RecordReplica::find_missing(const Position& position, const std::string& from,
+                                                     const std::string& to,
                                                      const std::vector<state::KeyValue>& items) const {
-    if (!holds(mark)) return {};
+    if (!is_valid(position)) return {};
     std::map<std::string_view, const state::KeyValue*> read;
     for (const auto& item : items) read.emplace(item.key, &item);
     std::vector<std::string> out;
-    // What has a later mod revision than the mark was written, or became known, while the page was on its way.
+    // A mod revision after the position means that the record was written, or learned of, after the request was sent.
     const auto check = [&](const std::string& key, std::uint64_t mod_revision) {
         if (key <= from || (!to.empty() && key > to) || mod_revision <= deferred_mod_revision ||
-            mod_revision > mark.revision)
+            mod_revision > position.revision)
             return;
         const auto it = read.find(key);
         if (it == read.end() || it->second->mod_revision < mod_revision ||
@@ -195,7 +196,7 @@
     };
     for (auto it = records_.upper_bound(from); it != records_.end() && (to.empty() || it->first <= to); ++it)
         check(it->first, it->second.mod_revision);
-    // Outcomes are kept in no order: they are all compared, but only for pages that reach into them.
+    // Compact outcomes are not sorted: all are checked, but only for pages that can contain outcomes.
     if (from < scheduler::work_prefix)
         for (const auto& [uid, outcome] : outcomes_) check(scheduler::outcome_key(uid), outcome.mod_revision);
     return out;
--- a/src/recovery/record_restorer.cpp
+++ b/src/recovery/record_restorer.cpp
@@ -27,8 +27,8 @@
     return static_cast<std::size_t>(std::strtoull(tail.c_str(), nullptr, 10));
 }
 
-// Removes from `contents` what this page holds.
-void remove_paged(const state::KeyValue& page, ReplicaContents& contents) {
+// Removes the records of this page from `contents`.
+void remove_paged_records(const state::KeyValue& page, ReplicaContents& contents) {
     try {
         for (const auto& record : decode_page(page)) contents.records.erase(record.key);
     } catch (const std::exception& e) {
@@ -36,7 +36,7 @@
     }
 }
 
-// Whether another controller rebuilds, or this one's term is over.
+// Whether the transaction failed because another controller rebuilds or this controller's term is over.
 bool lost_leadership(const state::TxnResult& result) {
     return std::any_of(result.failed.begin(), result.failed.end(),
                        [](const std::string& key) { return key == state::marker_key || key == election::term_key; });
@@ -70,11 +70,11 @@
 }
 
 bool RecordRestorer::batch_full(const std::vector<state::Change>& batch) const {
-    const auto most = std::min<std::size_t>(
+    const auto max_changes = std::min<std::size_t>(
         {context_.store.preferred_batch_size(), context_.record_format.limits().txn_ops, max_batch_changes});
     std::size_t bytes = 0;
     for (const auto& change : batch) bytes += state::RecordFormat::size_of(*change.value);
-    return batch.size() >= most || bytes >= max_batch_bytes;
+    return batch.size() >= max_changes || bytes >= max_batch_bytes;
 }
 
 awaitable<bool> RecordRestorer::write_in_batches(GenerationMarker marker, std::vector<state::Change> changes,
@@ -95,12 +95,12 @@
     ModRevisions mod_revisions;
     const auto existing = co_await read_all(context_.store, deferred_prefix);
     if (!existing) co_return std::nullopt;
-    // Pages of a rebuilding that was interrupted, or of an earlier round of this one, hold some of it already.
+    // Pages of an interrupted rebuild, or of an earlier pass of this one, may already hold some of the outcomes.
     std::size_t next_page = 0;
     for (const auto& item : *existing) {
         mod_revisions[item.key] = item.mod_revision;
         next_page = std::max(next_page, page_number(item.key) + 1);
-        remove_paged(item, deferred);
+        remove_paged_records(item, deferred);
     }
     const auto added = deferred.records.size();
     for (const auto& text : encode_pages(deferred, context_.record_format)) {
@@ -112,8 +112,8 @@
     co_return std::optional(added);
 }
 
-state::Txn RecordRestorer::conditioned(const GenerationMarker& marker, const std::vector<state::Change>& changes,
-                                       const ModRevisions& mod_revisions) const {
+state::Txn RecordRestorer::conditional_txn(const GenerationMarker& marker, const std::vector<state::Change>& changes,
+                                           const ModRevisions& mod_revisions) const {
     state::Txn txn;
     txn.conditions = markers_.leader_conditions(marker);
     for (const auto& change : changes) {
@@ -127,7 +127,7 @@
 awaitable<bool> RecordRestorer::write(GenerationMarker marker, std::vector<state::Change> changes,
                                       ModRevisions& mod_revisions) {
     for (;;) {
-        auto txn = conditioned(marker, changes, mod_revisions);
+        auto txn = conditional_txn(marker, changes, mod_revisions);
         const auto began = Clock::now();
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::user);
         if (!context_.leadership.term) co_return false;
@@ -143,7 +143,7 @@
         const bool refused = result.outcome == Outcome::refused;
         co_await net::sleep_for(refused ? delay_after_refusal : delay_after_failure);
         if (refused) continue;
-        // A write of this rebuilding whose answer was lost, or came late, may stand.
+        // An earlier write of this rebuild may have taken effect although its answer was lost or late.
         for (const auto& change : changes) {
             const auto read = co_await context_.store.get(change.key, RequestPriority::user);
             if (read.outcome == Outcome::ok) mod_revisions[change.key] = read.item.mod_revision;
@@ -153,7 +153,7 @@
 
 awaitable<bool> RecordRestorer::write_one_by_one(GenerationMarker marker, std::vector<state::Change> changes,
                                                  ModRevisions& mod_revisions) {
-    // One record that is never taken must not keep all others away.
+    // A record that the store always rejects must not block all other records.
     if (changes.size() == 1) {
         spdlog::error("event=record_rejected key={}", changes[0].key);
         co_return true;
--- a/src/recovery/record_restorer.hpp
+++ b/src/recovery/record_restorer.hpp
@@ -1,4 +1,5 @@
-// Writes records back to the store after a loss. Every write is on the condition that this controller still rebuilds.
+// Writes records back to the store after a loss. Every write is conditioned on the marker and the term, so that it
+// fails once another controller rebuilds.
 #pragma once
 #include <optional>
 
@@ -11,10 +12,10 @@
   public:
     RecordRestorer(RecoveryContext& context, const MarkerStore& markers) : context_(context), markers_(markers) {}
 
-    // The records of jobs that the store holds. Nothing if it could not be read.
+    // The job records in the store; nullopt if they could not be read.
     awaitable<std::optional<StoredRecords>> read_stored();
-    // Writes what is missing or differs. Returns how many records that were, or nothing if it was interrupted:
-    // another controller rebuilds, or the term was lost. `merged` must outlive the call.
+    // Writes the records that are missing in the store or differ. Returns their number, or nullopt if it was
+    // interrupted because another controller rebuilds or the term was lost. `merged` must outlive the call.
     awaitable<std::optional<std::size_t>> restore(state::GenerationMarker marker, const Merged& merged,
                                                   StoredRecords stored);
 
@@ -23,15 +24,16 @@
     awaitable<bool> write_in_batches(state::GenerationMarker marker, std::vector<state::Change> changes,
                                      ModRevisions& mod_revisions);
     bool batch_full(const std::vector<state::Change>& batch) const;
-    // Writes the pages of deferred outcomes. Returns how many outcomes were in none before, or nothing if interrupted.
+    // Writes the pages of deferred outcomes. Returns the number of outcomes that were not yet in a page, or nullopt if
+    // interrupted.
     awaitable<std::optional<std::size_t>> write_deferred(state::GenerationMarker marker, ReplicaContents deferred);
-    // Repeats until the changes are on record. False if interrupted.
+    // Retries until the changes are stored. False if interrupted.
     awaitable<bool> write(state::GenerationMarker marker, std::vector<state::Change> changes,
                           ModRevisions& mod_revisions);
     awaitable<bool> write_one_by_one(state::GenerationMarker marker, std::vector<state::Change> changes,
                                      ModRevisions& mod_revisions);
-    state::Txn conditioned(const state::GenerationMarker& marker, const std::vector<state::Change>& changes,
-                           const ModRevisions& mod_revisions) const;
+    state::Txn conditional_txn(const state::GenerationMarker& marker, const std::vector<state::Change>& changes,
+                               const ModRevisions& mod_revisions) const;
 
     RecoveryContext& context_;
     const MarkerStore& markers_;
--- a/src/recovery/record_scrubber.cpp
+++ b/src/recovery/record_scrubber.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr auto scrub_interval = std::chrono::seconds(5);
-constexpr std::size_t max_restored_records = 16;  // where more are lost nobody knows how much is
+constexpr std::size_t max_restored_records = 16;  // if more are lost, the extent of the loss is unknown
 
 }  // namespace
 
@@ -32,12 +32,12 @@
         co_await check_.read_page(scheduler::jobs_prefix, last_scrubbed_key_, RequestPriority::bookkeeping);
     const auto& page = checked.read;
     if (page.outcome != Outcome::ok || context_.loss_suspected() || !context_.replica.is_complete()) co_return;
-    if (checked.went_back) {
+    if (checked.rolled_back) {
         context_.suspect_revision_rollback(page.revision);
         co_return;
     }
     last_scrubbed_key_ = page.more && !page.items.empty() ? page.items.back().key : std::string();
-    // Most of it was removed, or its job ended, since the mark: each key is read again before anything is concluded.
+    // Most of these keys were properly removed since the replica's position was taken, so each is read again first.
     context_.missing_keys.insert(checked.missing.begin(), checked.missing.end());
 }
 
@@ -71,7 +71,7 @@
         const bool rechecked = co_await recheck_keys(lost);
         if (!rechecked || lost.empty()) co_return false;
         if (all_compared || lost.size() > max_restored_records) co_return true;
-        // Where one is lost others may be.
+        // If one record is lost, others may be lost too.
         all_compared = co_await compare_all_pages();
         if (!all_compared || context_.loss_suspected()) co_return false;
     }
@@ -79,15 +79,15 @@
 
 awaitable<bool> RecordScrubber::recheck_keys(Findings& lost) {
     auto& keys = context_.missing_keys;
-    std::set<std::string> unclear;
+    std::set<std::string> inconclusive;
     while (!keys.empty() && lost.size() <= max_restored_records) {
         auto key = keys.extract(keys.begin()).value();
         auto finding = co_await check_.recheck(std::move(key), RequestPriority::user);
         if (context_.loss_suspected() || !context_.replica.is_complete()) co_return false;
-        if (finding.verdict == Verdict::unclear) unclear.insert(finding.key);
+        if (finding.verdict == Verdict::inconclusive) inconclusive.insert(finding.key);
         if (finding.verdict == Verdict::lost) lost.push_back(std::move(finding));
     }
-    keys.merge(unclear);
+    keys.merge(inconclusive);
     co_return true;
 }
 
@@ -112,7 +112,7 @@
     co_return !context_.loss_suspected() && replica.is_complete() && replica.revision() >= revision;
 }
 
-// Removed in good order, restored or written anew since the second read.
+// Drops findings of records that were properly removed, restored or rewritten since they were read again.
 void RecordScrubber::drop_explained(Findings& lost) const {
     std::erase_if(lost, [&](const Finding& finding) {
         const auto expected = context_.replica.expected_mod_revision(finding.key);
@@ -120,9 +120,9 @@
     });
 }
 
-// By conditional writes: on this history, on what was found there, and on no outcome that somebody wrote meanwhile.
-// What is written is the newest value that ever was on record, since the replica holds everything up to the finding;
-// from then on whoever wrote the key on the condition of the mod revision that was lost has failed.
+// The write is conditioned on the marker, on the mod revision that was found, and on the absence of an outcome of the
+// job. It restores the newest value that was ever stored, because the replica holds every change up to the finding. A
+// write by another controller that is conditioned on the lost mod revision fails.
 state::Txn RecordScrubber::restoring_txn(const state::GenerationMarker& marker, const Finding& finding,
                                          const Record& record) const {
     state::Txn txn;
@@ -131,7 +131,8 @@
     if (const auto work = scheduler::parse_work_key(finding.key))
         txn.conditions.push_back({scheduler::outcome_key(work->uid), 0});
     txn.changes.push_back({finding.key, boost::json::parse(record.text), 0});
-    // The digest counts outcomes by their mod revisions. The leader writes another when it sees that one came back.
+    // The digest counts outcomes by mod revision, so it no longer matches. The leader writes a new one when it sees the
+    // restored outcome.
     if (is_outcome_key(finding.key)) txn.changes.push_back({digest_key, std::nullopt, 0});
     return txn;
 }
@@ -149,7 +150,7 @@
             digest_.invalidate();
             spdlog::error("event=record_restored key={} revision={}", finding.key, result.revision);
         } else {
-            // Somebody else's may be there, or this write, or it was refused.
+            // The key may hold this write or another controller's, or the write was refused: read it again.
             context_.missing_keys.insert(std::move(finding.key));
         }
     }
--- a/src/recovery/record_scrubber.hpp
+++ b/src/recovery/record_scrubber.hpp
@@ -1,5 +1,5 @@
-// Compares the store with the replica, reads again what seems to be missing, and restores single records. Data can be
-// lost without any sign, so a controller that does not lead reads the records again, a page now and then.
+// Compares the store with the replica, checks records that seem to be missing, and restores single lost records. Data
+// can be lost without any visible sign, so controllers that do not lead read all records again, one page per interval.
 #pragma once
 #include <string>
 #include <vector>
@@ -16,27 +16,29 @@
                    OutcomeDigest& digest)
         : context_(context), check_(check), follower_(follower), digest_(digest) {}
 
-    // Compares the next page, if one is due. Not for the leader.
+    // Compares the next page, if one is due. Does nothing on the leader.
     awaitable<void> scrub_if_due();
 
     bool recheck_due() const { return !context_.missing_keys.empty() && model::Clock::now() >= next_recheck_; }
     model::TimePoint next_recheck() const { return next_recheck_; }
-    // Reads the keys again that seemed to be missing, and judges them by a replica that holds everything up to that
-    // second read. If single records are lost that the replica holds, they are restored. Nothing is closed for that,
-    // and no term ends: while they are missing, GuardedStore passes on no answer that rests on their absence. If more
-    // are lost, a loss is suspected, for nobody knows how much it is.
+    // Reads the keys again that seemed to be missing, and compares the results with a replica that has caught up to
+    // those reads. A few lost records are restored from the replica. The guard stays open and the term continues
+    // meanwhile, because GuardedStore withholds every answer that depends on the absence of those records. If more
+    // records are lost, the extent of the loss is unknown, and a loss is suspected.
     awaitable<void> recheck_missing(state::GenerationMarker marker);
 
   private:
     using Findings = std::vector<ConsistencyCheck::Finding>;
     awaitable<void> scrub_page();
-    // Adds the records that are missing for certain to `lost`. False if the replica is no longer valid for that.
+    // Rechecks missing_keys and adds the records that are certainly lost to `lost`. False if the replica can no longer
+    // be used for that.
     awaitable<bool> recheck_keys(Findings& lost);
-    // The same, and where one is lost, for all pages. False if that was not possible now, or nothing is lost.
+    // The same; if any record is lost, also compares all pages. False if that was not possible, or if no record is
+    // lost.
     awaitable<bool> find_lost(Findings& lost);
-    // Adds what seems to be missing on all pages to the keys to read again. False if that was not possible now.
+    // Compares all pages and adds the keys that seem to be missing to missing_keys. False if that was not possible.
     awaitable<bool> compare_all_pages();
-    // Whether the replica now holds everything up to the findings.
+    // Brings the replica up to the revisions of the findings. False if that was not possible.
     awaitable<bool> catch_up(const Findings& lost);
     void drop_explained(Findings& lost) const;
     awaitable<void> restore_records(state::GenerationMarker marker, Findings lost);
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -49,7 +49,7 @@
     if (!published || !still_leads(term)) co_return;
     const auto gathered = co_await offers_.gather(marker);
     if (!gathered || !still_leads(term)) co_return;
-    context_.replica_verified = true;  // whatever is missing, there is nobody else to ask
+    context_.replica_verified = true;  // all available replicas were gathered; there is no other source
     auto stored = co_await restorer_.read_stored();
     if (!stored || !still_leads(term)) co_return;
     log_sources(*gathered);
@@ -65,7 +65,7 @@
     if (finished) offers_.schedule_removal();
 }
 
-// Says who rebuilds, and up to where this controller's own replica reaches.
+// Writes into the marker that this controller rebuilds, and the history and revision of its own replica.
 awaitable<bool> RecordsRebuilder::claim(GenerationMarker& marker) {
     const auto& replica = context_.replica;
     const auto term = context_.leadership.term->number;
@@ -87,8 +87,8 @@
     co_return true;
 }
 
-// Nobody can cancel anything before the records are whole again: if all replicas were gathered, all cancellations are
-// known.
+// No job can be cancelled before the records are complete again. If all replicas were gathered, all cancellations are
+// therefore known.
 void RecordsRebuilder::pass_on_outcomes(const Merged& merged, bool all_replicas_gathered) const {
     std::vector<state::KeyValue> outcomes;
     for (const auto& [key, text] : merged.records) {
@@ -112,7 +112,7 @@
         if (!missing || !still_leads(term)) co_return std::nullopt;
         restored += *missing;
         if (*missing == 0) co_return std::optional(restored);
-        // More may have been lost while it was being written.
+        // More records may have been lost during the writing.
         auto present = co_await restorer_.read_stored();
         if (!present || !still_leads(term)) co_return std::nullopt;
         stored = std::move(*present);
@@ -137,7 +137,7 @@
     marker.missing = gathered.missing;
     std::vector<state::Change> changes;
     changes.push_back({digest_key, std::nullopt, 0});
-    // Where the history went on and nothing was missing, nothing was lost: what is on record is all there is.
+    // If only single records were suspected lost and none had to be restored, no record was lost.
     const bool nothing_lost = marker.keys_only && restored == 0;
     marker.loss_exceeds_replica = !nothing_lost && (marker.loss_exceeds_replica || !gathered.placements_known);
     if (marker.loss_exceeds_replica)
--- a/src/recovery/recovery_callbacks.hpp
+++ b/src/recovery/recovery_callbacks.hpp
@@ -1,4 +1,4 @@
-// What the recovery package calls in the rest of the controller.
+// Functions of the rest of the controller that the recovery package calls.
 #pragma once
 #include <functional>
 #include <vector>
@@ -13,24 +13,25 @@
 struct RecoveryCallbacks {
     // Milliseconds since the epoch, by the wall clock.
     std::function<std::int64_t()> time_of_day_ms;
-    // The records are complete, and this term may rely on them. `unsettled`: machines may run tasks without a record.
-    std::function<void(election::Term, bool unsettled)> begin_term;
-    // The current term began before the loss and must end; another one has to be won.
+    // The records are complete, and this term may rely on them. `reconciliation_pending`: machines may run tasks that
+    // no record names.
+    std::function<void(election::Term, bool reconciliation_pending)> begin_term;
+    // The current term began before the loss. It must end, and a new one has to be won.
     std::function<void(const char* why)> restart_term;
-    // How much the outcomes that are passed on cover.
+    // Which outcomes a call of outcomes_read() covers.
     enum class OutcomeCoverage : std::uint8_t {
-        after_gap,  // changes may have been missed before this read
-        changes,    // changes since the read before
+        after_gap,  // outcomes may have been missed before this read
+        changes,    // outcomes changed since the previous read
         all,        // every outcome that any replica holds
     };
-    // A read of the outcomes, sent at `began`, returned these.
+    // A read that was sent at `began` returned these outcomes.
     std::function<void(const std::vector<state::KeyValue>&, model::TimePoint began, OutcomeCoverage coverage)>
         outcomes_read;
-    // The records are complete again, and may differ from those before.
+    // The records are complete again after a loss, and may differ from those before.
     std::function<void()> records_rebuilt;
     // The highest term that this controller has seen.
     std::function<std::uint64_t()> highest_seen_term;
-    // Of this controller; another one after each start.
+    // The incarnation of this controller process; different after each start.
     std::uint64_t incarnation = 0;
 };
 
--- a/src/recovery/recovery_context.cpp
+++ b/src/recovery/recovery_context.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t max_seen_terms = 8;
-constexpr std::size_t max_missing_keys = 1000;  // others are reported again by a later answer
+constexpr std::size_t max_missing_keys = 1000;  // further keys are reported again by later answers
 
 }  // namespace
 
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr auto marker_interval = 5s;     // between two reads of the marker while nothing indicates a loss
-constexpr auto marker_peer_wait = 6s;    // for the peers to say that they know of no marker either
+constexpr auto marker_interval = 5s;     // between two reads of the marker without a sign of a loss
+constexpr auto marker_peer_wait = 6s;    // for status messages of all peers before a marker is created
 constexpr auto marker_wait_step = 50ms;  // between two attempts to create the marker
 constexpr auto confirmation_retry = 100ms;
 constexpr auto missing_member_wait = 60s;  // during which knows_all_jobs() waits for members that made no offer
@@ -54,22 +54,23 @@
     PeerRecordsStatus status;
     status.generation = context_.replica.generation();
     status.id = context_.replica.id();
-    // Zero while this controller holds records that nobody else may know: see knows_all_jobs().
+    // 0 while this controller may hold records that no other controller has: see knows_all_jobs().
     status.complete_up_to = context_.late_records_added ? context_.replica.revision() : 0;
     status.rebuilding = context_.records_lost ? context_.newest_known_generation() : 0;
     return status;
 }
 
 RecoveryCoordinator::State RecoveryCoordinator::state() const {
-    if (context_.records_lost) return rebuilder_.active() ? State::rebuilding : State::standing_by;
+    if (context_.records_lost) return rebuilder_.active() ? State::rebuilding : State::standby;
     return context_.loss_suspected() ? State::loss_suspected : State::following;
 }
 
-// A controller that was out of reach when the records were rebuilt may hold more, and adds it when it is back. Users
-// who ask meanwhile are asked to come again, but not for so long that a job which does exist counts as forgotten.
+// A controller that was unreachable during the rebuild may hold further records, and adds them when it is back. Until
+// then, users who ask for an unknown job are asked to retry. The wait ends at missing_member_deadline_, so that a job
+// that does exist does not count as forgotten.
 bool RecoveryCoordinator::knows_all_jobs() const {
     const auto& marker = context_.complete_marker;
-    if (!marker || Clock::now() >= certain_at_) return true;
+    if (!marker || Clock::now() >= missing_member_deadline_) return true;
     return std::all_of(marker->missing.begin(), marker->missing.end(), [&](const std::string& member) {
         if (member == context_.settings.member) return context_.replica.is_complete() && context_.late_records_added;
         const auto peer = context_.peers.find(member);
@@ -78,7 +79,7 @@
     });
 }
 
-// --- the marker ---
+// --- handling of the marker ---
 
 awaitable<void> RecoveryCoordinator::run() {
     snapshots_.load(context_.replica);
@@ -91,14 +92,14 @@
         }
         context_.marker_read_at = Clock::now();
         context_.marker_recheck = false;
-        co_await act_on(std::move(read.item), std::move(known));
+        co_await handle_marker(std::move(read.item), std::move(known));
     }
 }
 
-awaitable<void> RecoveryCoordinator::act_on(state::KeyValue item, std::vector<History> known) {
+awaitable<void> RecoveryCoordinator::handle_marker(state::KeyValue item, std::vector<History> known) {
     const auto marker = state::parse_marker(item);
     const auto& previous = context_.complete_marker;
-    // A suspicion is resolved once somebody rebuilds, or has.
+    // A suspicion is resolved once a rebuild is in progress or complete.
     if (marker && (!marker->is_complete() || (previous && marker->generation > previous->generation)))
         context_.clear_suspicion();
     if (!marker) {
@@ -118,9 +119,9 @@
     }
 }
 
-// On a store that never had a marker one may be created: at the first start of all, or when the first controller of a
-// version comes that knows of it. A store that lost its marker looks the same, so nobody creates one before the others
-// have said that they know of none either, or have said nothing for long enough.
+// A store that never had a marker gets one at the first start of the cluster, or when the first controller of a version
+// that uses markers starts. A store that lost its marker looks the same, so a controller first waits until every peer
+// has sent its status, which shows whether it knows a marker, or until marker_peer_wait has passed.
 bool RecoveryCoordinator::may_create_marker() const {
     if (Clock::now() - started_at_ > marker_peer_wait) return true;
     const auto& peers = context_.settings.peers;
@@ -146,7 +147,7 @@
         co_await context_.wakeup.wait(retry_interval);
 }
 
-// From now on nobody relies on the records, on this controller or any other, until one has rebuilt them.
+// Replaces the marker, so that no controller relies on the records until one has rebuilt them.
 awaitable<void> RecoveryCoordinator::declare_loss(std::uint64_t replaced_revision, std::uint64_t generation,
                                                   std::string why) {
     context_.guarded_store.close();
@@ -166,7 +167,7 @@
                   marker.generation, why, replaced_revision, context_.replica.size(), context_.replica.revision());
 }
 
-// --- while the records are whole ---
+// --- while the records are complete ---
 
 awaitable<void> RecoveryCoordinator::follow_complete_records(GenerationMarker marker) {
     const auto& previous = context_.complete_marker;
@@ -192,9 +193,9 @@
 }
 
 awaitable<bool> RecoveryCoordinator::begin_history(GenerationMarker marker) {
-    certain_at_ = Clock::now();
-    if (!marker.missing.empty()) certain_at_ += missing_member_wait;
-    // Deferred outcomes count as on record, so they must be known before anybody is answered.
+    missing_member_deadline_ = Clock::now();
+    if (!marker.missing.empty()) missing_member_deadline_ += missing_member_wait;
+    // Deferred outcomes count as stored, so they must be known before any user is answered.
     RecordReplica next;
     next.begin(marker.generation, marker.id, 0);
     const bool read = co_await deferred_outcomes_.read(next);
@@ -205,7 +206,7 @@
         context_.late_records_added = false;
     }
     if (context_.complete_marker || context_.records_lost) {
-        // This controller may not have noticed the loss while it lasted.
+        // The loss may have been repaired before this controller noticed it.
         const bool noticed = context_.loss_noticed_at != model::TimePoint{};
         spdlog::info("event=records_recovered generation={} seconds={:.1f}", marker.generation,
                      noticed ? model::Seconds(Clock::now() - context_.loss_noticed_at).count() : 0.0);
@@ -285,8 +286,8 @@
     if (pause > 0ms) co_await context_.wakeup.wait(pause);
 }
 
-// A term may rely on the records once the marker was seen after the term was won: whatever is lost later takes the
-// term's own record with it, or shows in a revision that went back. False if the marker has to be read again.
+// A term may rely on the records once the marker was read after the term was won: a later loss either removes the
+// term's own record too, or shows as a decreased revision. False if the marker has to be read again.
 awaitable<bool> RecoveryCoordinator::confirm_term(GenerationMarker marker) {
     const auto term = *context_.leadership.term;
     const auto checked =
@@ -296,14 +297,15 @@
         co_await context_.wakeup.wait(confirmation_retry);
         co_return !context_.loss_suspected();
     }
-    bool marker_stands = false, unsettled = false;
+    bool marker_unchanged = false, reconciliation_pending = false;
     for (const auto& item : read.items) {
-        marker_stands = marker_stands || (item.key == state::marker_key && item.mod_revision == marker.mod_revision);
-        unsettled = unsettled || item.key == reconciliation_pending_key;
+        marker_unchanged =
+            marker_unchanged || (item.key == state::marker_key && item.mod_revision == marker.mod_revision);
+        reconciliation_pending = reconciliation_pending || item.key == reconciliation_pending_key;
     }
-    if (!marker_stands) co_return false;
-    context_.terms.reconciled = !unsettled;
-    if (checked.went_back) {
+    if (!marker_unchanged) co_return false;
+    context_.terms.reconciled = !reconciliation_pending;
+    if (checked.rolled_back) {
         context_.suspect_revision_rollback(read.revision);
         co_return false;
     }
@@ -312,11 +314,11 @@
     leadership.confirmed = true;
     context_.terms.last_led = term.number;
     context_.terms.add(term.number);
-    context_.callbacks.begin_term(term, unsettled);
+    context_.callbacks.begin_term(term, reconciliation_pending);
     co_return true;
 }
 
-// --- while they are not ---
+// --- while the records are lost ---
 
 void RecoveryCoordinator::note_loss(const GenerationMarker& marker) {
     if (!context_.records_lost || context_.loss_noticed_at == model::TimePoint{}) {
@@ -327,8 +329,8 @@
     context_.records_lost = true;
 }
 
-// Only a term that was won after the loss was declared rebuilds, or one that has claimed the rebuilding already. A term
-// that has begun may have relied on the records that were lost, and must end.
+// Only a term that was won after the loss was declared, or that has already claimed the rebuild, may rebuild. A term
+// that has begun may have relied on the lost records and must end.
 bool RecoveryCoordinator::may_rebuild(const GenerationMarker& marker) const {
     const auto& [term, confirmed] = context_.leadership;
     const bool claimed = marker.rebuilder == context_.settings.member && marker.term == term->number;
--- a/src/recovery/replica_offers.cpp
+++ b/src/recovery/replica_offers.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr auto peer_alive_for = std::chrono::seconds(3);  // a peer that was heard so lately is waited for
-constexpr auto min_wait = std::chrono::seconds(3);        // for all others, heard or not
+constexpr auto peer_alive_for = std::chrono::seconds(3);  // a peer whose status arrived within this time is waited for
+constexpr auto min_wait = std::chrono::seconds(3);        // for all other members, after the loss was noticed
 constexpr auto max_wait = std::chrono::seconds(20);
-constexpr std::size_t max_kept_offers = 6;  // of one controller's incarnations
+constexpr std::size_t max_kept_offers = 6;  // of earlier incarnations of one controller
 
 std::string list_key(const std::string& member) { return offers_prefix + member; }
 
@@ -33,7 +33,8 @@
     return offer;
 }
 
-// Reads the pages of the offer with that number. A page that is missing or damaged makes it incomplete.
+// Reads the pages of the offer at index `number` of the list. If a page is missing or damaged, the result is
+// incomplete.
 ReplicaContents read_offer(const std::string& member, std::size_t number, const boost::json::value& entry,
                            const std::map<std::string, const state::KeyValue*>& items) {
     ReplicaContents contents;
@@ -45,7 +46,7 @@
     contents.revision = offer.revision;
     contents.id = offer.id;
     contents.complete = offer.complete;
-    // The version before did not name the prefix.
+    // An earlier version did not store the prefix.
     const auto prefix =
         offer.page_prefix.empty() ? list_key(member) + "/" + std::to_string(number) + "." : offer.page_prefix;
     for (std::uint64_t n = 0; n < offer.pages; ++n) {
@@ -64,12 +65,12 @@
 
 }  // namespace
 
-std::vector<ReplicaContents> ReplicaOffers::own_sources(const std::string& of, std::uint64_t revision) const {
+std::vector<ReplicaContents> ReplicaOffers::own_sources(const std::string& base_history, std::uint64_t revision) const {
     const auto* previous = context_.previous_replica ? &*context_.previous_replica : nullptr;
     std::vector<ReplicaContents> sources;
     for (const auto* replica : {&std::as_const(context_.replica), previous}) {
         if (!replica || !replica->generation()) continue;
-        const bool only_newer = !of.empty() && replica->id() == of;
+        const bool only_newer = !base_history.empty() && replica->id() == base_history;
         sources.push_back(replica->source(context_.settings.member, only_newer ? revision : 0));
     }
     return sources;
@@ -88,7 +89,7 @@
     const bool rebuilds = marker.rebuilder == context_.settings.member;
     for (const auto& source : own_sources(rebuilds ? std::string() : marker.base_history, marker.base_revision)) {
         if (source.records.empty() && !source.complete) continue;
-        // Pages of an earlier incarnation may still be on their way, and must not take the place of these.
+        // The prefix contains the incarnation: delayed writes of an earlier incarnation must not overwrite these pages.
         const auto prefix = list_key(context_.settings.member) + "/" + std::to_string(context_.callbacks.incarnation) +
                             "." + std::to_string(list->offers.size()) + ".";
         auto pages = encode_pages(source, context_.record_format);
@@ -100,11 +101,12 @@
                      source.revision);
     }
     list->made_for = marker.mod_revision;
-    list->unsettled = context_.unsettled();
+    list->reconciliation_pending = context_.reconciliation_pending();
     const auto key = list_key(context_.settings.member);
     state::Txn txn;
     txn.conditions.push_back({state::marker_key, marker.mod_revision});
-    txn.conditions.push_back({key, list->mod_revision});  // nor must an earlier incarnation's list
+    txn.conditions.push_back(
+        {key, list->mod_revision});  // so that a delayed write of an earlier incarnation's list fails
     txn.changes.push_back({key, offer_list_record(*list), 0});
     const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::user);
     co_return result.outcome == Outcome::ok;
@@ -168,7 +170,7 @@
     for (const auto& item : items) by_key[item.key] = &item;
     auto seen_terms = context_.terms.seen;
     std::set<std::uint64_t> led_terms{context_.terms.last_led};
-    bool unsettled = context_.unsettled();
+    bool reconciliation_pending = context_.reconciliation_pending();
     for (const auto& member : all_members()) {
         const auto found = by_key.find(list_key(member));
         const auto* record = found == by_key.end() ? nullptr : found->second->value.if_object();
@@ -178,17 +180,18 @@
             gathered.missing.push_back(member);
         }
         if (!record) continue;
-        // An offer that was made to another controller, or by an earlier incarnation of this one, is as true as it was.
+        // Offers made to another rebuilder or by an earlier incarnation are still valid.
         seen_terms.insert(list.seen_terms.begin(), list.seen_terms.end());
         led_terms.insert(list.last_led);
-        unsettled = unsettled || list.unsettled;
+        reconciliation_pending = reconciliation_pending || list.reconciliation_pending;
         for (std::size_t n = 0; n < list.offers.size(); ++n)
             gathered.sources.push_back(read_offer(member, n, list.offers[n], by_key));
     }
-    // A term that was won after the loss was declared has placed nothing; whoever noticed late has seen it all the
-    // same.
+    // The terms that rebuilt were won after the loss was declared and have placed no task, but members that noticed the
+    // loss late list them as seen.
     for (const auto term : marker.rebuilders) seen_terms.erase(term);
-    gathered.placements_known = !seen_terms.empty() && led_terms.contains(*seen_terms.rbegin()) && !unsettled;
+    gathered.placements_known =
+        !seen_terms.empty() && led_terms.contains(*seen_terms.rbegin()) && !reconciliation_pending;
     return gathered;
 }
 
--- a/src/recovery/restore_plan.cpp
+++ b/src/recovery/restore_plan.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-// Positions in the order of restoring. Work comes in between, by its job's priority.
+// Sort keys of the restore order. Work has the keys between, by its job's priority.
 constexpr int cancellation_order = 0;
 constexpr int lowest_priority_order = 4;
 constexpr int unknown_priority_order = 5;
 constexpr int finished_order = 9;
 
-// An outcome as it was written may hold the submission too, which nobody reads again: a replica holds only what counts.
-// To write it again for that would have been most of the writes of a rebuilding after which nothing was missing.
+// Compares only the fields that are read again. A stored outcome may also contain the submission, which a replica
+// drops. Rewriting outcomes for that difference would be most of the writes of a rebuild in which no record was
+// missing.
 bool same_outcome(const json::value& a, const json::value& b) {
     const auto* left = a.if_object();
     const auto* right = b.if_object();
@@ -52,7 +53,7 @@
     }
 }
 
-// Whether the store's own record says the same already.
+// Whether the store already holds an equivalent record.
 bool is_stored(const std::string& key, const json::value& value, const StoredRecords& stored) {
     const auto record = stored.contents.records.find(key);
     if (record == stored.contents.records.end()) return false;
@@ -61,9 +62,9 @@
     return !ec && (present == value || (is_outcome_key(key) && same_outcome(present, value)));
 }
 
-// An outcome that says done is needed only by those who ask for it: it comes back in pages, and later under its own
-// key. One that is there and differs is corrected at once, and so is one whose job looks open: a store that was set
-// back shows work that had been removed.
+// A `done` outcome is only needed when a user asks for it, so it is first written in a page and later under its own
+// key. It is not deferred if the store holds a different outcome, or holds work of the job and thus shows it as open: a
+// store that was reset to an earlier state may hold work that had been removed.
 bool can_be_deferred(const std::string& key, const StoredRecords& stored) {
     const auto uid = key.substr(key.rfind('/') + 1);
     const auto& records = stored.contents.records;
--- a/src/recovery/restore_plan.hpp
+++ b/src/recovery/restore_plan.hpp
@@ -1,4 +1,4 @@
-// Which records have to be written back after a loss, and in which order. Pure.
+// Determines which records have to be written back after a loss, and in which order. No I/O.
 #pragma once
 #include <vector>
 
@@ -7,15 +7,15 @@
 
 namespace flintdale::recovery {
 
-// The records of jobs that the store holds now.
+// The job records in the store.
 struct StoredRecords {
     ReplicaContents contents;
-    std::map<std::string, std::uint64_t> mod_revisions;
+    std::map<std::string, std::uint64_t> mod_revisions;  // by key
 };
 
 struct RestorePlan {
-    std::vector<state::Change> immediate;  // first cancellations, then work by priority, then other outcomes
-    ReplicaContents deferred;              // outcomes that are put down in pages first: see DeferredOutcomes
+    std::vector<state::Change> immediate;  // cancellations, then work by priority, then other outcomes
+    ReplicaContents deferred;              // outcomes that are first written in pages: see DeferredOutcomes
 };
 
 RestorePlan plan_restore(const Merged& merged, const StoredRecords& stored);
--- a/src/recovery/snapshot_file.cpp
+++ b/src/recovery/snapshot_file.cpp
@@ -24,10 +24,10 @@
 constexpr std::string_view ending = ".records";
 constexpr std::size_t page_records = 4096;
 constexpr std::size_t kept_snapshots = 2;
-constexpr std::size_t frame_header_bytes = 4;  // the length of a page, little-endian
+constexpr std::size_t frame_header_bytes = 4;  // the length of a page in bytes, little-endian
 const std::string header_key = "snapshot";
 
-// Closes the file when it goes out of scope.
+// A file descriptor that is closed at the end of its scope.
 struct Descriptor {
     int fd = -1;
     ~Descriptor() {
@@ -35,13 +35,15 @@
     }
 };
 
-[[noreturn]] void fail(const char* what) { throw std::runtime_error(std::string(what) + ": " + std::strerror(errno)); }
+[[noreturn]] void throw_system_error(const char* operation) {
+    throw std::runtime_error(std::string(operation) + ": " + std::strerror(errno));
+}
 
 void write_all(int fd, std::string_view bytes) {
     while (!bytes.empty()) {
         const auto n = ::write(fd, bytes.data(), bytes.size());
         if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) fail("write");
+        if (n <= 0) throw_system_error("write");
         bytes.remove_prefix(static_cast<std::size_t>(n));
     }
 }
@@ -52,7 +54,7 @@
     return out + page;
 }
 
-// Sorts as the snapshots were made: by generation, then by revision.
+// File names sort by generation, then by revision.
 std::string name_of(const ReplicaContents& s) {
     return fmt::format("{:020}-{:020}{}", s.generation, s.revision, ending);
 }
@@ -66,7 +68,7 @@
     return out;
 }
 
-// The pages of a file. Throws if the last one is torn.
+// The pages of a snapshot file. Throws wire::DecodeError if a page is truncated or damaged.
 std::vector<std::vector<wire::ArchivedRecord>> read_pages(const fs::path& path) {
     std::ifstream in(path, std::ios::binary);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
@@ -86,7 +88,7 @@
     return pages;
 }
 
-// Throws unless the file is whole to its last byte.
+// Throws unless the file is intact and contains all pages named in its header.
 ReplicaContents read(const fs::path& path) {
     auto pages = read_pages(path);
     if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key) throw wire::DecodeError("no header");
@@ -103,7 +105,7 @@
     return contents;
 }
 
-// Packs the records in pages.
+// Packs the records into compressed pages.
 std::vector<std::string> encode_snapshot_pages(const ReplicaContents& source) {
     std::vector<std::string> pages;
     std::vector<wire::ArchivedRecord> page;
@@ -125,11 +127,11 @@
         {"generation", source.generation}, {"revision", source.revision}, {"id", source.id}, {"pages", pages.size()}};
     const std::array first{wire::ArchivedRecord{header_key, 0, boost::json::serialize(header)}};
     Descriptor file{::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644)};
-    if (file.fd < 0) fail("open");
+    if (file.fd < 0) throw_system_error("open");
     write_all(file.fd, magic);
     write_all(file.fd, framed(wire::encode_archive(first)));
     for (const auto& page : pages) write_all(file.fd, framed(page));
-    if (::fsync(file.fd) != 0) fail("fsync");
+    if (::fsync(file.fd) != 0) throw_system_error("fsync");
 }
 
 }  // namespace
@@ -142,7 +144,7 @@
         write(temporary, source);
         fs::rename(temporary, target);
         const Descriptor dir{::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-        if (dir.fd < 0 || ::fsync(dir.fd) != 0) fail("fsync of the directory");
+        if (dir.fd < 0 || ::fsync(dir.fd) != 0) throw_system_error("fsync of the directory");
         const auto all = snapshots(directory_);
         for (std::size_t i = kept_snapshots; i < all.size(); ++i) fs::remove(all[i]);
         return true;
--- a/src/recovery/snapshot_file.hpp
+++ b/src/recovery/snapshot_file.hpp
@@ -1,4 +1,4 @@
-// Snapshots of a controller's replica, in a directory of its machine. Off unless the operator names one.
+// Snapshots of a controller's replica in a local directory. Disabled unless the operator configures a directory.
 #pragma once
 #include <filesystem>
 #include <optional>
@@ -9,15 +9,15 @@
 
 class SnapshotFile {
   public:
-    // An empty path: no snapshots are kept.
+    // An empty path disables snapshots.
     explicit SnapshotFile(std::filesystem::path directory = {}) : directory_(std::move(directory)) {}
 
     bool in_use() const { return !directory_.empty(); }
-    // Writes a snapshot beside the previous one, which is removed only when this one is whole on the disk: a crash at
-    // any moment, or a disk that is full, leaves the previous one. False, with a line in the log, if it could not be
-    // written.
+    // Writes a snapshot to a temporary file, syncs it and renames it. Older snapshots beyond the previous one are
+    // removed only after that, so the previous one survives a crash at any moment or a full disk. Returns false and
+    // logs the error if the snapshot could not be written.
     bool put(const ReplicaContents& source);
-    // The newest snapshot that is whole; nothing if there is none.
+    // The newest intact snapshot; nullopt if there is none.
     std::optional<ReplicaContents> newest() const;
 
   private:
--- a/src/recovery/snapshot_writer.hpp
+++ b/src/recovery/snapshot_writer.hpp
@@ -1,4 +1,4 @@
-// Keeps a snapshot of the replica on the machine's disk, and loads it at the start.
+// Writes snapshots of the replica to the local disk at an interval, and loads the newest one at startup.
 #pragma once
 #include "model/clock.hpp"
 #include "recovery/record_replica.hpp"
@@ -10,9 +10,9 @@
   public:
     explicit SnapshotWriter(SnapshotFile file) : file_(std::move(file)) {}
 
-    // Fills the replica with the newest complete snapshot, if there is one.
+    // Loads the newest intact snapshot into the replica, if there is one.
     void load(RecordReplica& replica) const;
-    // Writes a snapshot if they are in use, the replica is complete and the last one is old enough.
+    // Writes a snapshot if snapshots are enabled, the replica is complete and the interval has passed.
     void write_if_due(const RecordReplica& replica);
 
   private:
--- a/src/recovery/store_scan.cpp
+++ b/src/recovery/store_scan.cpp
@@ -36,11 +36,11 @@
     for (std::size_t at = 0; at < items->size();) {
         state::Txn txn;
         txn.conditions = conditions;
-        const auto most = std::min(context.store.preferred_batch_size(), context.record_format.limits().txn_ops);
-        for (; at < items->size() && txn.changes.size() < most; ++at)
+        const auto max_changes = std::min(context.store.preferred_batch_size(), context.record_format.limits().txn_ops);
+        for (; at < items->size() && txn.changes.size() < max_changes; ++at)
             txn.changes.push_back({(*items)[at].key, std::nullopt, 0});
         const auto result = co_await context.store.commit(std::move(txn), RequestPriority::bookkeeping);
-        if (result.outcome != Outcome::ok) co_return;  // the next rebuilding overwrites them
+        if (result.outcome != Outcome::ok) co_return;  // remaining keys are overwritten by the next rebuild
     }
 }
 
--- a/src/recovery/store_scan.hpp
+++ b/src/recovery/store_scan.hpp
@@ -1,4 +1,4 @@
-// Reading and removing all keys under a prefix.
+// Reads or removes all keys under a prefix.
 #pragma once
 #include <optional>
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace flintdale::recovery {
 
-// All items under the prefix, page by page. Nothing if too many requests failed. The pages are not of one revision.
+// Reads all items under the prefix, page by page; pages may be from different revisions. Nullopt if too many requests
+// failed.
 awaitable<std::optional<std::vector<state::KeyValue>>> read_all(state::Store& store, std::string prefix);
 
-// Removes all keys under the prefix, in several transactions, each on the conditions. Stops at the first that fails.
+// Removes all keys under the prefix, in several transactions, each under `conditions`. Stops at the first that fails.
 awaitable<void> remove_all(RecoveryContext& context, std::string prefix, std::vector<state::Condition> conditions);
 
 }  // namespace flintdale::recovery
--- a/src/state/generation_marker.cpp
+++ b/src/state/generation_marker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// By the value of GenerationMarker::Phase.
+// Stored names, indexed by GenerationMarker::Phase.
 constexpr std::array<std::string_view, 3> phase_names{"whole", "merging", "restoring"};
 
 std::optional<GenerationMarker::Phase> parse_phase(std::string_view name) {
--- a/src/state/guarded_store.cpp
+++ b/src/state/guarded_store.cpp
@@ -17,7 +17,7 @@
                        [&](const auto& condition) { return condition.key == key && condition.mod_revision == 0; });
 }
 
-bool is_answer(Outcome outcome) { return outcome == Outcome::ok || outcome == Outcome::conflict; }
+bool is_definite(Outcome outcome) { return outcome == Outcome::ok || outcome == Outcome::conflict; }
 
 }  // namespace
 
@@ -28,13 +28,13 @@
     if (marker_revision == marker_revision_) return;
     marker_revision_ = marker_revision;
     newest_revision_ = marker_revision;
-    ++opening_;
+    ++transitions_;
 }
 
 void GuardedStore::close() {
     if (!marker_revision_) return;
     marker_revision_ = 0;
-    ++opening_;
+    ++transitions_;
 }
 
 void GuardedStore::suspect_loss(const char* why) {
@@ -48,10 +48,11 @@
            std::any_of(txn.changes.begin(), txn.changes.end(), names_guarded_key);
 }
 
-// Requests overtake one another, so an answer is compared only with what had been seen when its request was sent: from
-// then on the store was at that revision or a later one. Before the opening, and across one, nothing can be concluded.
+// Requests are not answered in order, so the answer's revision is compared only with the highest one seen before the
+// request was sent: the store was at that revision or a later one from then on. While the guard is closed, or if it was
+// opened or closed in between, no conclusion is possible.
 bool GuardedStore::is_consistent(const KnownWhenSent& known, std::uint64_t revision) {
-    if (known.opening != opening_) return false;
+    if (known.transitions != transitions_) return false;
     if (!is_open()) return true;
     if (revision < known.revision) {
         const auto why = "its revisions went back: " + std::to_string(known.revision) + " was seen, then " +
@@ -81,11 +82,11 @@
         result.outcome = Outcome::refused;
         co_return result;
     }
-    const auto opening = opening_;
+    const auto transitions = transitions_;
     const auto expected = guarded ? expected_revision(key) : 0;
     result = co_await inner_.get(std::move(key), priority);
-    // What was written just after a loss must not be passed on as an answer, not even by reading it again.
-    if (guarded && opening != opening_) result.outcome = Outcome::unknown;
+    // If the guard was opened or closed meanwhile, the value may have been written after a loss: withhold it.
+    if (guarded && transitions != transitions_) result.outcome = Outcome::unknown;
     if (result.outcome == Outcome::ok && report_if_missing(result.item, expected)) result.outcome = Outcome::refused;
     co_return result;
 }
@@ -98,7 +99,7 @@
         result.outcome = Outcome::unknown;
     if (result.outcome != Outcome::ok || !guarded) co_return result;
     for (const auto& item : result.items) {
-        // A key that is expected beyond the revision known then may have been written while this was under way.
+        // A key expected at a later revision may have been written while this request was in flight.
         const auto expected = expected_revision(item.key);
         if (expected <= known.revision && report_if_missing(item, expected)) result.outcome = Outcome::refused;
     }
@@ -129,7 +130,7 @@
     if (!is_guarded(txn)) {
         const auto known = known_now();
         result = co_await inner_.commit(std::move(txn), priority);
-        if (is_answer(result.outcome)) is_consistent(known, result.revision);
+        if (is_definite(result.outcome)) is_consistent(known, result.revision);
         co_return result;
     }
     if (!is_open()) {
@@ -149,19 +150,19 @@
     pending.changes = txn.changes;
     if (!pending.impossible.empty()) pending.conditions = txn.conditions;
     result = co_await inner_.commit(std::move(txn), priority);
-    judge_commit(pending, result);
+    validate_commit(pending, result);
     co_return result;
 }
 
-void GuardedStore::judge_commit(const PendingCommit& pending, TxnResult& result) {
-    if (!is_answer(result.outcome)) return;
+void GuardedStore::validate_commit(const PendingCommit& pending, TxnResult& result) {
+    if (!is_definite(result.outcome)) return;
     if (result.outcome == Outcome::conflict && has_failed(result, marker_key)) {
-        if (pending.known.opening == opening_) suspect_loss("its marker is another");
+        if (pending.known.transitions == transitions_) suspect_loss("its marker is another");
         result.outcome = Outcome::refused;
         return;
     }
     if (!is_consistent(pending.known, result.revision)) {
-        // It was carried out, but by a store that may have lost data: the caller must not take it for an answer.
+        // The transaction was carried out, but by a store that may have lost data: its outcome must not be reported.
         const bool changed = result.outcome == Outcome::ok && !pending.changes.empty();
         result.outcome = changed ? Outcome::unknown : Outcome::refused;
         return;
@@ -175,7 +176,7 @@
         if (is_guarded(change.key)) events_.committed(change, result.revision);
 }
 
-// A key is missing if its absence held, unless a key that would explain that may be there.
+// A key is missing if its absence condition held, unless the key that explains the absence may be present.
 bool GuardedStore::report_missing_keys(const PendingCommit& pending, const TxnResult& result) {
     bool any_missing = false;
     for (const auto& key : pending.impossible) {
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -10,18 +10,19 @@
 
 using model::Clock;
 
-constexpr std::size_t kept_connections = 8, kept_watch_connections = 4;
-constexpr std::chrono::milliseconds request_limit{1500};
-constexpr std::chrono::milliseconds renew_limit{800};
+constexpr std::size_t max_idle_connections = 8, max_idle_watch_connections = 4;
+constexpr std::chrono::milliseconds request_timeout{1500};
+constexpr std::chrono::milliseconds renew_timeout{800};
 constexpr std::chrono::seconds healthy_after_answer{2};
 constexpr unsigned http_unavailable = 503;
 
-// Of the published limits: the clocks and the token buckets of controllers and store do not agree exactly.
-constexpr double safety = 0.9;
-constexpr double leader_share = 0.6;
-// Of a second's writes: what users' requests may use ahead.
+// Fraction of the published limits that is used: the clocks and token buckets of controllers and store do not agree
+// exactly.
+constexpr double safety_factor = 0.9;
+constexpr double leader_share = 0.6;  // the leader's fraction of the requests, and of the writes not divided by demand
+// Fraction of one second's writes that user requests may borrow in advance.
 constexpr double borrowed_share = 0.5;
-// Of the writes: the part that is shared by demand.
+// Fraction of the writes that is divided by demand.
 constexpr double demand_driven_share = 0.6;
 
 }  // namespace
@@ -29,11 +30,11 @@
 HttpStore::HttpStore(net::Executor ex, const config::Settings& settings, RecordFormat& record_format)
     : record_format_(record_format),
       controllers_(std::max<std::size_t>(1, settings.controllers)),
-      http_(ex, settings.state.host, settings.state.port, kept_connections),
-      watches_(ex, settings.state.host, settings.state.port, kept_watch_connections),
-      limiter_(ex,
-               TokenBucket(settings.store_limits.rps * safety / static_cast<double>(controllers_),
-                           settings.store_limits.write_rps * safety / static_cast<double>(controllers_), Clock::now())),
+      http_(ex, settings.state.host, settings.state.port, max_idle_connections),
+      watches_(ex, settings.state.host, settings.state.port, max_idle_watch_connections),
+      limiter_(ex, TokenBucket(settings.store_limits.rps * safety_factor / static_cast<double>(controllers_),
+                               settings.store_limits.write_rps * safety_factor / static_cast<double>(controllers_),
+                               Clock::now())),
       demand_share_(1.0 / static_cast<double>(controllers_)) {
     set_rates();
 }
@@ -54,9 +55,10 @@
     const double write_share =
         controllers_ == 1 ? 1.0 : share * (1.0 - demand_driven_share) + demand_share_ * demand_driven_share;
     const auto& limits = record_format_.limits();
-    // All controllers together borrow less than the second's burst that the store allows.
-    limiter_.bucket().set_borrowing(limits.write_rps * safety * borrowed_share / static_cast<double>(controllers_));
-    limiter_.bucket().set_rates(limits.rps * safety * share, limits.write_rps * safety * write_share);
+    // All controllers together borrow less than the burst of one second's writes that the store allows.
+    limiter_.bucket().set_borrowing(limits.write_rps * safety_factor * borrowed_share /
+                                    static_cast<double>(controllers_));
+    limiter_.bucket().set_rates(limits.rps * safety_factor * share, limits.write_rps * safety_factor * write_share);
 }
 
 bool HttpStore::healthy(Clock::time_point now) const {
@@ -64,9 +66,9 @@
 }
 
 awaitable<net::HttpAnswer> HttpStore::call(net::http::verb verb, std::string target, std::string body, double writes,
-                                           RequestPriority priority, Clock::duration limit) {
+                                           RequestPriority priority, Clock::duration timeout) {
     co_await limiter_.acquire(writes, priority);
-    auto answer = co_await http_.request(verb, std::move(target), std::move(body), limit);
+    auto answer = co_await http_.request(verb, std::move(target), std::move(body), timeout);
     if (answer.never_sent) answer.status = http_unavailable;
     if (answer.status == 0 || answer.status == http_unavailable)
         last_failure_ = Clock::now();
@@ -78,14 +80,14 @@
 awaitable<GetResult> HttpStore::get(std::string key, RequestPriority priority) {
     auto target = protocol::get_target(key);
     const auto answer =
-        co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_limit);
+        co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_timeout);
     co_return protocol::parse_get(answer, std::move(key));
 }
 
 awaitable<RangeResult> HttpStore::range(std::string prefix, std::string after, RequestPriority priority) {
     auto target = protocol::range_target(prefix, after);
     const auto answer =
-        co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_limit * 2);
+        co_await call(net::http::verb::get, std::move(target), std::string(), 0, priority, request_timeout * 2);
     co_return protocol::parse_range(answer);
 }
 
@@ -111,7 +113,7 @@
     auto body = protocol::commit_body(txn);
     const auto writes = static_cast<double>(txn.changes.size());
     const auto answer =
-        co_await call(net::http::verb::post, std::move(target), std::move(body), writes, priority, request_limit);
+        co_await call(net::http::verb::post, std::move(target), std::move(body), writes, priority, request_timeout);
     auto result = protocol::parse_commit(answer);
     if (result.outcome == Outcome::too_large) transaction_rejected(txn, largest, answer.body);
     co_return result;
@@ -121,7 +123,7 @@
     co_await limiter_.acquire(0, RequestPriority::leadership);
     auto target = protocol::watch_target(prefix, from, hold);
     auto answer =
-        co_await watches_.request(net::http::verb::get, std::move(target), std::string(), hold + request_limit);
+        co_await watches_.request(net::http::verb::get, std::move(target), std::string(), hold + request_timeout);
     if (answer.never_sent) answer.status = http_unavailable;
     co_return protocol::parse_watch(answer);
 }
@@ -130,21 +132,21 @@
     std::string target = protocol::grant_target;
     auto body = protocol::grant_body(ttl);
     const auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body), 0,
-                                      RequestPriority::leadership, request_limit);
+                                      RequestPriority::leadership, request_timeout);
     co_return protocol::parse_grant(answer);
 }
 
 awaitable<Outcome> HttpStore::renew(std::uint64_t lease) {
     auto target = protocol::renew_target(lease);
     const auto answer = co_await call(net::http::verb::post, std::move(target), std::string(), 0,
-                                      RequestPriority::leadership, renew_limit);
+                                      RequestPriority::leadership, renew_timeout);
     co_return protocol::parse_renew(answer);
 }
 
 awaitable<void> HttpStore::revoke(std::uint64_t lease) {
     auto target = protocol::revoke_target(lease);
     co_await call(net::http::verb::delete_, std::move(target), std::string(), 0, RequestPriority::bookkeeping,
-                  request_limit);
+                  request_timeout);
 }
 
 }  // namespace flintdale::state
--- a/src/state/http_store.hpp
+++ b/src/state/http_store.hpp
@@ -1,4 +1,4 @@
-// The store over HTTP, within this controller's share of the published request limits.
+// HTTP client of the store. It keeps to this controller's share of the store's published request limits.
 #pragma once
 #include "config/settings.hpp"
 #include "model/clock.hpp"
@@ -9,20 +9,21 @@
 
 namespace flintdale::state {
 
-// See Store for the operations. An answer that the protocol does not allow counts as no answer.
+// See Store for the operations. An answer that violates the protocol counts as no answer (`unknown`).
 class HttpStore : public RateLimitedStore {
   public:
-    // `record_format` is informed when the store shows that its limits have changed; it must outlive the store.
+    // `record_format` is notified when a rejection shows that the store's limits were lowered; it must outlive this.
     HttpStore(net::Executor ex, const config::Settings& settings, RecordFormat& record_format);
 
-    // The shares of all controllers together stay within the limits. The leader does most of the work; of the writes
-    // a part follows what each has lately asked for, so that a crowd of submissions at one of them need not wait for
-    // what the others leave unused.
+    // The shares of all controllers add up to at most the limits. The leader gets the largest share. A part of the
+    // write limit is divided by recent demand, so that a burst of submissions at one controller can use what the other
+    // controllers leave unused.
     void set_leading(bool leading) override;
     double take_write_demand() override { return limiter_.take_demand(); }
     void set_write_demand(double own, double all) override;
 
-    // True while the last answer was a usable one, and for two seconds after such an answer.
+    // True if the last request was answered, and for two seconds after the last answer. No answer and status 503 count
+    // as failures.
     bool healthy(model::TimePoint now) const override;
 
     awaitable<GetResult> get(std::string key, RequestPriority priority) override;
@@ -37,20 +38,20 @@
 
   private:
     void set_rates();
-    // The size in bytes of the largest value, which only matters while the format is not the newest; otherwise 0.
+    // The size in bytes of the largest value; 0 once the newest format is in use, where it is not needed.
     std::size_t largest_value(const Txn& txn) const;
     void transaction_rejected(const Txn& txn, std::size_t largest_value, const std::string& answer);
-    // Waits for its turn and sends the request. `writes`: number of changes; 0 for reads. Status 503 if no connection
-    // came about, for then nothing can have been carried out.
+    // Waits for the rate limiter and sends the request. `writes`: number of changes; 0 for reads. Status 503 if the
+    // connection failed: the request was not sent, so it cannot have taken effect.
     awaitable<net::HttpAnswer> call(net::http::verb verb, std::string target, std::string body, double writes,
-                                    RequestPriority priority, model::Clock::duration limit);
+                                    RequestPriority priority, model::Clock::duration timeout);
 
     RecordFormat& record_format_;
     std::size_t controllers_;
     net::HttpClient http_, watches_;
     RequestLimiter limiter_;
     bool leading_ = false;
-    double demand_share_ = 0;  // of the writes that are shared by demand, from 0 to 1
+    double demand_share_ = 0;  // this controller's share of the demand-driven writes, from 0 to 1
     model::Clock::time_point last_answer_, last_failure_;
 };
 
--- a/src/state/record_fields.hpp
+++ b/src/state/record_fields.hpp
@@ -1,5 +1,5 @@
-// Lenient readers for fields of JSON objects that the store sends. A field that is missing or of another type has the
-// type's empty value: such an object says nothing, and the caller treats it like one without the field.
+// Lenient readers for fields of JSON objects that the store returns. A field that is missing or has another type reads
+// as the empty value of its type: 0, an empty string or false.
 #pragma once
 #include <boost/json.hpp>
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace flintdale::state {
 
-// A whole number; 0 if the field holds none, or one out of range.
+// An unsigned integer; 0 if the field holds none or is out of range.
 inline std::uint64_t number_or_zero(const boost::json::object& object, std::string_view field) {
     const auto* value = object.if_contains(field);
     if (!value || !value->is_number()) return 0;
--- a/src/state/request_limiter.cpp
+++ b/src/state/request_limiter.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// A less urgent request has its turn after this time: placements must not starve while jobs pour in. Garbage collection
-// may starve: at the head it would keep all others waiting for the large reserve that it has to leave.
+// After this wait, a request takes precedence over later ones of higher priority, except leadership: placements must
+// not starve during a burst of submissions. Garbage collection may starve: at the head of the queue it would delay all
+// other requests until its large reserve is available.
 constexpr std::chrono::milliseconds starvation_limit{400};
-constexpr double portion_of_a_second = 0.35;  // of a second's writes
+constexpr double batch_share_of_a_second = 0.35;  // largest batch, as a fraction of one second's writes
 
 bool has_starved(const RequestPriority priority, Clock::duration waited) {
     return priority != RequestPriority::garbage_collection && waited > starvation_limit;
@@ -38,11 +39,11 @@
     waiter->admitted.expires_at(Clock::time_point::max());
     lane.queues[static_cast<std::size_t>(priority)].push_back(waiter);
     waiting_writes_ += writes;
-    if (lane.pumping) {
+    if (lane.admitting) {
         lane.changed.notify();
     } else {
-        lane.pumping = true;
-        net::asio::co_spawn(ex_, pump(lane), net::asio::detached);
+        lane.admitting = true;
+        net::asio::co_spawn(ex_, admit_waiting(lane), net::asio::detached);
     }
     if (!waiter->is_admitted) {
         auto [ec] = co_await waiter->admitted.async_wait(net::quietly);
@@ -50,7 +51,8 @@
     }
 }
 
-// The most urgent one, or the one that has waited longest of those that have starved.
+// The longest waiting request among those that have starved, otherwise the one of the highest priority. Leadership
+// always comes first.
 RequestLimiter::Queue* RequestLimiter::next_queue(Lane& lane, Clock::time_point now) {
     Queue* next = nullptr;
     for (auto& queue : lane.queues) {
@@ -58,7 +60,6 @@
         const auto& waiter = *queue.front();
         if (!next) {
             next = &queue;
-            // Leadership yields to nobody.
             if (waiter.priority == RequestPriority::leadership) return next;
         } else if (has_starved(waiter.priority, now - waiter.since) && waiter.since < next->front()->since) {
             next = &queue;
@@ -76,26 +77,26 @@
     waiter->admitted.cancel();
 }
 
-awaitable<void> RequestLimiter::pump(Lane& lane) {
+awaitable<void> RequestLimiter::admit_waiting(Lane& lane) {
     for (;;) {
         const auto now = Clock::now();
         auto* queue = next_queue(lane, now);
         if (!queue) break;
         const auto& waiter = *queue->front();
-        // A request that has starved need not leave a reserve for others.
-        const bool has_waited_enough = now - waiter.since > starvation_limit;
-        const bool without_reserve = has_waited_enough && waiter.priority == RequestPriority::bookkeeping;
+        // A starved bookkeeping request may use the reserve that is kept for higher priorities.
+        const bool is_overdue = now - waiter.since > starvation_limit;
+        const bool without_reserve = is_overdue && waiter.priority == RequestPriority::bookkeeping;
         const auto priority = without_reserve ? RequestPriority::leadership : waiter.priority;
         const auto wait = bucket_.take(waiter.writes, priority, now);
         if (wait.count() == 0) {
             admit(*queue);
             continue;
         }
-        const auto until_enough = std::chrono::duration_cast<Clock::duration>(wait);
-        const auto at_most = std::min<Clock::duration>(until_enough, starvation_limit);
-        co_await lane.changed.wait(at_most);
+        const auto refill_wait = std::chrono::duration_cast<Clock::duration>(wait);
+        const auto limited_wait = std::min<Clock::duration>(refill_wait, starvation_limit);
+        co_await lane.changed.wait(limited_wait);
     }
-    lane.pumping = false;
+    lane.admitting = false;
 }
 
 std::chrono::duration<double> RequestLimiter::write_wait() const {
@@ -103,7 +104,7 @@
 }
 
 std::size_t RequestLimiter::preferred_batch_size() const {
-    return static_cast<std::size_t>(bucket_.write_rate() * portion_of_a_second);
+    return static_cast<std::size_t>(bucket_.write_rate() * batch_share_of_a_second);
 }
 
 double RequestLimiter::take_demand() {
--- a/src/state/request_limiter.hpp
+++ b/src/state/request_limiter.hpp
@@ -1,5 +1,5 @@
-// The queue of requests to the store that wait for this controller's share of its limits: the more urgent first, then
-// in the order of arrival.
+// Queues requests to the store until this controller's share of the store's limits admits them: by priority, then in
+// the order of arrival.
 #pragma once
 #include <array>
 #include <deque>
@@ -14,16 +14,16 @@
   public:
     RequestLimiter(net::Executor ex, TokenBucket bucket);
 
-    // Returns once a request with this number of writes may be sent; 0 writes: a read. The limiter must outlive it.
+    // Returns once a request with this number of writes may be sent; 0 for a read. The limiter must outlive the call.
     awaitable<void> acquire(double writes, RequestPriority priority);
 
-    // How many writes a transaction that is not urgent should hold at most.
+    // The maximum number of writes that a transaction without urgency should contain.
     std::size_t preferred_batch_size() const;
 
-    // How long a write that is requested now would wait.
+    // The estimated wait of a write that is requested now.
     std::chrono::duration<double> write_wait() const;
 
-    // The number of writes requested since the last call, with all that still wait.
+    // The number of writes admitted since the last call, plus all that still wait.
     double take_demand();
 
     TokenBucket& bucket() { return bucket_; }
@@ -40,18 +40,18 @@
         model::Clock::time_point since{};
     };
     using Queue = std::deque<std::shared_ptr<Waiter>>;
-    // Reads and writes wait apart: the limit on writes is the scarcer, and must not hold up a read.
+    // Reads and writes wait in separate lanes: the write limit is the tighter one and must not delay reads.
     struct Lane {
         explicit Lane(net::Executor ex) : changed(ex) {}
-        // Whether a request of this priority, or of a more urgent one, waits.
+        // Whether a request of this or a higher priority waits.
         bool has_waiting(RequestPriority priority) const;
         std::array<Queue, priorities> queues;  // by priority
         net::Wakeup changed;
-        bool pumping = false;  // whether pump() runs
+        bool admitting = false;  // admit_waiting() is running for this lane
     };
-    // Admits the lane's requests until none waits.
-    awaitable<void> pump(Lane& lane);
-    // The queue whose first request is next; null if none waits.
+    // Admits the lane's requests as the token bucket refills; ends when none waits.
+    awaitable<void> admit_waiting(Lane& lane);
+    // The queue whose first request is admitted next; null if none waits.
     static Queue* next_queue(Lane& lane, model::Clock::time_point now);
     void admit(Queue& queue);
 
--- a/src/state/store_protocol.cpp
+++ b/src/state/store_protocol.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-// 0 if there is none; throws if it is no whole number that fits.
+// 0 if the field is absent or not a number. Throws boost::system::system_error if it is not an unsigned 64-bit integer.
 std::uint64_t number(const json::object& object, std::string_view field) {
     const auto* value = object.if_contains(field);
     return value && value->is_number() ? value->to_number<std::uint64_t>() : 0;
@@ -69,7 +69,7 @@
     return out;
 }
 
-// Status 400: the transaction names a lease that does not exist, or is never taken as it is.
+// The meaning of status 400: the transaction names a lease that does not exist, or it is permanently rejected.
 Outcome rejection(const net::HttpAnswer& answer, const std::optional<json::object>& body) {
     const bool names_lease = body && text_or_empty(*body, "error").find("lease") != std::string::npos;
     const bool no_lease = names_lease || answer.body.find("no such lease") != std::string::npos;
--- a/src/state/store_protocol.hpp
+++ b/src/state/store_protocol.hpp
@@ -1,5 +1,5 @@
-// The store's HTTP protocol: targets and bodies of requests, and what its answers mean. Pure: no I/O and no clock. The
-// names of the wire's fields stand here and in record values only.
+// The store's HTTP protocol: request targets, request bodies, and parsing of answers. No I/O and no clock. The field
+// names of the wire format appear only here and in record values.
 #pragma once
 #include <chrono>
 #include <string>
@@ -17,12 +17,12 @@
 inline constexpr const char* commit_target = "/multi";
 inline constexpr const char* grant_target = "/grants";
 
-// The body of a transaction. Takes the values of the changes, and leaves their keys.
+// The body of a transaction. Moves the values out of the changes; the keys remain.
 std::string commit_body(Txn& txn);
 std::string grant_body(std::chrono::milliseconds ttl);
 
-// What an answer says. One that is not the JSON that the protocol promises counts as no answer: `unknown`. A number out
-// of range throws boost::system::system_error.
+// Parsers of answers. A body that is not the JSON that the protocol specifies yields the outcome `unknown`. A number
+// out of range throws boost::system::system_error.
 GetResult parse_get(const net::HttpAnswer& answer, std::string key);
 RangeResult parse_range(const net::HttpAnswer& answer);
 TxnResult parse_commit(const net::HttpAnswer& answer);
--- a/tests/consistency_check_test.cpp
+++ b/tests/consistency_check_test.cpp
@@ -1,4 +1,4 @@
-// The second read of a record that seems to be missing.
+// The second read of a record that seems to be missing, by which a loss is confirmed or ruled out.
 #include "recovery/consistency_check.hpp"
 
 #include <gtest/gtest.h>
@@ -46,15 +46,15 @@
 
 }  // namespace
 
-TEST_F(ConsistencyCheckTest, PresentNewerOrProperlyRemovedRecordsAreSound) {
-    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::sound);
-    EXPECT_EQ(recheck("jobs/over/run-2").verdict, Verdict::sound);
-    EXPECT_EQ(recheck("jobs/work/run-7").verdict, Verdict::sound) << "nobody remembers it";
+TEST_F(ConsistencyCheckTest, PresentNewerOrProperlyRemovedRecordsAreIntact) {
+    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::intact);
+    EXPECT_EQ(recheck("jobs/over/run-2").verdict, Verdict::intact);
+    EXPECT_EQ(recheck("jobs/work/run-7").verdict, Verdict::intact) << "nobody remembers it";
     put("jobs/work/run-1", work_record(2));
-    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::sound);
+    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::intact);
     put("jobs/over/run-1", cancelled_outcome);
     put("jobs/work/run-1", "");
-    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::sound);
+    EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::intact);
 }
 
 TEST_F(ConsistencyCheckTest, MissingOlderOrDamagedRecordsAreFoundWithTheirPresentRevision) {
--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -1,5 +1,5 @@
-// What is kept of losses: the bytes stay what they were, and what an earlier version left in the midst of a rebuilding
-// is understood.
+// Golden tests of the recovery package's stored data: it is written with the same bytes as before, and data that an
+// earlier version left during a rebuild can be read.
 #include "recovery/recovery_coordinator.hpp"
 #include "scheduler/job.hpp"
 #include "support/golden_store.hpp"
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::uint64_t own_term = 1'700'000'000'500;  // of the leader in all tests
+constexpr std::uint64_t own_term = 1'700'000'000'500;  // term of the leader in all tests
 
-// One controller's recovery coordinator on a service in memory, under a time of its own.
+// One controller's recovery coordinator on an in-memory store, under simulated time.
 class CoordinatorOnFakeStore {
-    SimulatedClock time_;  // first, for all others look at the clock when they are made
+    SimulatedClock time_;  // declared first, because the other members read the clock during construction
 
   public:
     CoordinatorOnFakeStore(const std::string& own_name, const std::string& other_name)
@@ -21,12 +21,12 @@
     }
 
     ChangeLoggingStore store;
-    bool began = false, began_unsettled = false;
-    std::uint64_t seen_term = 0;
+    bool began = false, began_with_reconciliation_pending = false;  // arguments of the begin_term callback
+    std::uint64_t highest_seen_term = 0;
     std::vector<state::KeyValue> outcomes;  // that the coordinator reported
 
     void start() { net::asio::co_spawn(io_, recovery.run(), net::asio::detached); }
-    void pass(double seconds) { time_.advance(io_, seconds); }
+    void advance(double seconds) { time_.advance(io_, seconds); }
     std::uint64_t put(const std::vector<state::Change>& changes) {
         state::Txn txn;
         txn.changes = changes;
@@ -41,7 +41,7 @@
         term.mod_revision = put({change});
         recovery.term_won(term);
     }
-    // The service forgets everything, and goes on counting from where that leaves it.
+    // The store loses all keys and starts counting revisions from zero.
     void wipe() { store.keys = Keys(); }
     std::string keys(const std::string& prefix) const {
         std::vector<state::Change> out;
@@ -58,17 +58,17 @@
     recovery::RecoveryCoordinator::Callbacks callbacks() {
         recovery::RecoveryCoordinator::Callbacks out;
         out.time_of_day_ms = [] { return std::int64_t(1'700'000'000'123); };
-        out.begin_term = [this](election::Term, bool unsettled) {
+        out.begin_term = [this](election::Term, bool reconciliation_pending) {
             began = true;
-            began_unsettled = unsettled;
+            began_with_reconciliation_pending = reconciliation_pending;
         };
         out.restart_term = [](const char*) {};
-        out.outcomes_read = [this](const std::vector<state::KeyValue>& told, model::TimePoint,
+        out.outcomes_read = [this](const std::vector<state::KeyValue>& reported, model::TimePoint,
                                    recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage) {
-            outcomes.insert(outcomes.end(), told.begin(), told.end());
+            outcomes.insert(outcomes.end(), reported.begin(), reported.end());
         };
         out.records_rebuilt = [] {};
-        out.highest_seen_term = [this] { return seen_term; };
+        out.highest_seen_term = [this] { return highest_seen_term; };
         out.incarnation = 7;
         return out;
     }
@@ -87,7 +87,7 @@
                                            recovery::SnapshotFile(""), callbacks()};
 };
 
-// An open job that is placed, one that is done and one that is cancelled.
+// The records of a placed open job, a done job and a cancelled job.
 std::vector<state::Change> records_of_jobs() {
     std::vector<state::Change> out(3);
     model::TaskRange range;
@@ -148,133 +148,136 @@
     return out;
 }
 
-enum class Offering : std::uint8_t { all, has_led, has_led_unsettled, newer_only };
+enum class Offering : std::uint8_t { all, has_led, has_led_reconciliation_pending, newer_only };
 
-// What a recovery coordinator writes for another that rebuilds after everything was lost.
-std::string offers_of(Offering what) {
+// The changes that a recovery coordinator writes to offer its replica to a rebuilder after the store was wiped.
+std::string offers_of(Offering offering) {
     CoordinatorOnFakeStore service("hearth-1", "hearth-0");
     const auto records = records_of_jobs();
     for (const auto& record : records) service.put({record});
     auto former = markers().at(1);
     former.id = "hearth-1-1";
-    former.loss_exceeds_replica = what == Offering::has_led_unsettled;
+    former.loss_exceeds_replica = offering == Offering::has_led_reconciliation_pending;
     service.put({marker_change(former)});
-    state::Change unsettled;
-    unsettled.key = recovery::reconciliation_pending_key;
-    unsettled.value = boost::json::object();
-    if (former.loss_exceeds_replica) service.put({unsettled});
+    state::Change pending;
+    pending.key = recovery::reconciliation_pending_key;
+    pending.value = boost::json::object();
+    if (former.loss_exceeds_replica) service.put({pending});
     service.start();
-    service.pass(3);
-    if (what == Offering::has_led || what == Offering::has_led_unsettled) service.lead(own_term - 5);
-    service.seen_term = what == Offering::all ? own_term - 1 : 0;
-    service.pass(3);
+    service.advance(3);
+    if (offering == Offering::has_led || offering == Offering::has_led_reconciliation_pending)
+        service.lead(own_term - 5);
+    service.highest_seen_term = offering == Offering::all ? own_term - 1 : 0;
+    service.advance(3);
     service.recovery.term_lost();
     service.wipe();
     auto marker = markers().at(3);
     marker.generation = 2;
     marker.rebuilder = "hearth-0";
     marker.term = own_term;
-    if (what == Offering::newer_only) {
+    if (offering == Offering::newer_only) {
         marker.base_history = former.id;
         marker.base_revision = records.size() - 1;
     }
     service.store.change_log.clear();
     service.put({marker_change(marker)});
-    service.pass(3);
+    service.advance(3);
     return service.store.change_log;
 }
 
 }  // namespace
 
-// The marker in each phase, with every field and with as few as there can be.
-TEST(GoldenTest, TheMarkerIsWrittenAndReadAsBefore) {
-    std::string out, again;
+// The marker in each phase, with all fields and with the fewest.
+TEST(GoldenTest, GenerationMarkerIsWrittenAndReadAsBefore) {
+    std::string out, rewritten;
     for (const auto& marker : markers()) out += line_of(marker_change(marker));
     expect_golden("markers.txt", out);
     for (const auto& change : changes_in("markers.txt")) {
         const auto marker = state::parse_marker({change.key, *change.value, 12});
         ASSERT_TRUE(marker) << change.key;
         EXPECT_EQ(marker->mod_revision, 12u);
-        again += line_of(marker_change(*marker));
+        rewritten += line_of(marker_change(*marker));
     }
-    expect_golden("markers.txt", again);
+    expect_golden("markers.txt", rewritten);
 }
 
-// All that a recovery coordinator writes: the marker of a new service; the digest; after a loss the marker in its
-// phases, the offers, the records, what is owed and that placements are not settled; and how that goes away.
-TEST(GoldenTest, ALossAndItsRebuildingAreWrittenAsBefore) {
+// All changes that a recovery coordinator writes: the marker of a new store; the digest; after a loss the marker in
+// each phase, the offers, the records, the deferred outcomes and the key that marks reconciliation as pending; and the
+// removal of all these.
+TEST(GoldenTest, WritesDuringLossAndRebuildAreAsBefore) {
     CoordinatorOnFakeStore service("hearth-0", "hearth-1");
     service.put(records_of_jobs());
     service.start();
-    service.pass(8);
+    service.advance(8);
     service.lead(own_term);
-    service.pass(4);
+    service.advance(4);
     EXPECT_TRUE(service.began);
-    EXPECT_FALSE(service.began_unsettled);
-    service.seen_term = own_term + 1;  // some term was about that may have placed something
-    service.pass(3);
+    EXPECT_FALSE(service.began_with_reconciliation_pending);
+    service.highest_seen_term = own_term + 1;  // a term that may have placed tasks
+    service.advance(3);
     service.recovery.term_lost();
     service.wipe();
-    service.pass(3);
+    service.advance(3);
     service.lead(own_term);
     service.began = false;
-    service.pass(20);
+    service.advance(20);
     EXPECT_TRUE(service.began);
-    EXPECT_TRUE(service.began_unsettled);
+    EXPECT_TRUE(service.began_with_reconciliation_pending);
     expect_golden("loss_and_rebuilding.txt", service.store.change_log);
     expect_golden("after_the_rebuilding.txt", service.keys(scheduler::jobs_prefix));
 }
 
-// What one that does not lead offers to the rebuilder: all that it remembers; the same where it has led, and where
-// placements were not settled then; and only what the rebuilder does not remember itself.
-TEST(GoldenTest, OffersToAnotherAreWrittenAsBefore) {
+// The offers of a controller that does not lead: its entire replica; the same after it has led, and after it has led
+// while reconciliation was pending; and only the records that are newer than the rebuilder's replica.
+TEST(GoldenTest, OffersToARebuilderAreWrittenAsBefore) {
     expect_golden("offers.txt", offers_of(Offering::all));
     expect_golden("offers_of_a_former_leader.txt", offers_of(Offering::has_led));
-    expect_golden("offers_while_unsettled.txt", offers_of(Offering::has_led_unsettled));
+    expect_golden("offers_while_unsettled.txt", offers_of(Offering::has_led_reconciliation_pending));
     expect_golden("offers_of_what_is_newer.txt", offers_of(Offering::newer_only));
 }
 
-// Offers that an earlier version made: a recovery coordinator that remembers nothing rebuilds the same records from
-// them, and knows from what they say of terms whether the last placements are known.
-TEST(GoldenTest, OffersOfAnEarlierVersionAreRebuiltFrom) {
+// A recovery coordinator with an empty replica rebuilds the same records from offers that an earlier version made, and
+// derives from the terms in them whether the last placements are known.
+TEST(GoldenTest, RecordsAreRebuiltFromOffersOfAnEarlierVersion) {
     for (const std::string name : {"offers", "offers_of_a_former_leader", "offers_while_unsettled"}) {
         CoordinatorOnFakeStore service("hearth-0", "hearth-1");
         service.put({marker_change(markers().at(3))});
         service.put(only(changes_in(name + ".txt"), recovery::offers_prefix));
         service.start();
-        service.pass(1);
+        service.advance(1);
         service.lead(own_term);
-        service.pass(40);
+        service.advance(40);
         EXPECT_TRUE(service.began);
-        EXPECT_EQ(service.began_unsettled, name != "offers_of_a_former_leader");
+        EXPECT_EQ(service.began_with_reconciliation_pending, name != "offers_of_a_former_leader");
         expect_golden("after_the_rebuilding.txt", service.keys(scheduler::jobs_prefix));
         expect_golden("rebuilt_from_" + name + ".txt", service.store.change_log);
     }
 }
 
-// What an earlier version left behind in the midst of a rebuilding is taken up: outcomes that are owed count as on
-// record and go back to their places, and a term knows that placements are not settled.
-TEST(GoldenTest, OwedOutcomesAndUnsettledPlacementsOfAnEarlierVersionAreUnderstood) {
+// Data that an earlier version left during a rebuild is used: deferred outcomes count as stored and are restored to
+// their keys, and a term begins with reconciliation pending.
+TEST(GoldenTest, DeferredOutcomesAndPendingReconciliationOfAnEarlierVersionAreRead) {
     CoordinatorOnFakeStore service("hearth-0", "hearth-1");
     const auto written = changes_in("loss_and_rebuilding.txt");
     service.put({marker_change(markers().at(0))});
     service.put(only(written, recovery::deferred_prefix));
     service.put(only(written, recovery::reconciliation_pending_key));
     service.start();
-    service.pass(1);
+    service.advance(1);
     const auto outcome = service.recovery.outcome_of("run-3");
     ASSERT_TRUE(outcome);
     EXPECT_EQ(outcome->state, model::JobState::done);
     EXPECT_EQ(outcome->size.tasks, 40u);
     service.lead(own_term);
-    service.pass(10);
+    service.advance(10);
     EXPECT_TRUE(service.began);
-    EXPECT_TRUE(service.began_unsettled);
+    EXPECT_TRUE(service.began_with_reconciliation_pending);
     expect_golden("owed_is_paid_back.txt", service.store.change_log);
 }
 
-// An earlier version's digest, held against all records and against fewer: only then a loss is declared.
-TEST(GoldenTest, ADigestOfAnEarlierVersionShowsALoss) {
+// A digest of an earlier version is compared with all records and with fewer: a loss is declared only in the second
+// case.
+TEST(GoldenTest, DigestOfAnEarlierVersionDetectsALoss) {
     for (const bool lost : {false, true}) {
         CoordinatorOnFakeStore service("hearth-0", "hearth-1");
         auto records = records_of_jobs();
@@ -286,7 +289,7 @@
         for (int i = 0; i < 5; ++i) service.put({marker_change(marker)});
         service.put({only(changes_in("loss_and_rebuilding.txt"), recovery::digest_key).at(0)});
         service.start();
-        service.pass(3);
+        service.advance(3);
         EXPECT_EQ(service.recovery.recovering(), lost);
         EXPECT_EQ(service.guarded.is_open(), !lost);
         if (lost) expect_golden("declared_by_digest.txt", service.store.change_log);
--- a/tests/guarded_store_test.cpp
+++ b/tests/guarded_store_test.cpp
@@ -1,4 +1,4 @@
-// What guards the records of jobs, and judges the answers that show one missing.
+// The guard for job records: detection of a loss, and the check of answers that show a record missing.
 #include "state/guarded_store.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
         txn.changes.push_back({key, boost::json::object{{"x", 1}}, 0});
         return run(store.commit(std::move(txn), state::RequestPriority::user));
     }
-    state::TxnResult prove_work_absent(const std::string& key) {
+    state::TxnResult check_absence_of(const std::string& key) {
         state::Txn txn;
         txn.conditions.push_back({key, 0});
         return run(store.commit(std::move(txn), state::RequestPriority::user));
@@ -60,7 +60,7 @@
 
 TEST_F(GuardedStoreTest, ClosedGuardBlocksJobRecordsOnly) {
     EXPECT_EQ(put("jobs/work/run-1").outcome, Outcome::refused);
-    EXPECT_EQ(prove_work_absent("jobs/work/run-1").outcome, Outcome::refused);
+    EXPECT_EQ(check_absence_of("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(run(store.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::refused);
     EXPECT_EQ(put("members/one").outcome, Outcome::ok);
     EXPECT_EQ(run(store.get("members/one", state::RequestPriority::user)).outcome, Outcome::ok);
@@ -79,12 +79,12 @@
     EXPECT_EQ(suspicions.size(), 1u);
 }
 
-// The proof that a job was never accepted: the records of both keys are absent, and so is the marker.
+// After a wipe, the job's records are absent, but so is the marker: the absence must not be reported.
 TEST_F(GuardedStoreTest, WipedStoreDoesNotProveThatAJobNeverExisted) {
     store.open(make_marker());
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
     inner.keys = Keys();
-    EXPECT_EQ(prove_work_absent("jobs/work/run-1").outcome, Outcome::refused);
+    EXPECT_EQ(check_absence_of("jobs/work/run-1").outcome, Outcome::refused);
     EXPECT_EQ(suspicions.size(), 1u);
 }
 
@@ -114,7 +114,7 @@
     EXPECT_TRUE(store.is_open());
 }
 
-// What is known when a request is sent holds for its answer; what becomes known meanwhile does not.
+// An answer is checked against the expectations at the time its request was sent, not against later ones.
 namespace {
 
 struct MissingRecordTest : GuardedStoreTest {
@@ -130,12 +130,13 @@
              return work ? scheduler::outcome_key(work->uid) : std::string();
          },
          [this](const std::string& key) { reported_missing.push_back(key); }}};
-    state::TxnResult prove_absence(const std::string& uid, bool at_once = true) {
+    state::TxnResult check_job_absence(const std::string& uid, bool at_once = true) {
         state::Txn txn;
         txn.conditions.push_back({scheduler::outcome_key(uid), 0});
         txn.conditions.push_back({scheduler::work_key(uid, 0), 0});
         if (at_once) return run(guard.commit(std::move(txn), state::RequestPriority::user));
-        // The job is accepted elsewhere, and told here, after this was carried out and before its answer is here.
+        // The job is accepted by another controller, and this one learns of it, after the transaction was carried out
+        // and before its answer arrives.
         state::TxnResult out;
         net::asio::co_spawn(io, guard.commit(std::move(txn), state::RequestPriority::user),
                             [&](std::exception_ptr, state::TxnResult r) { out = std::move(r); });
@@ -151,16 +152,16 @@
 }  // namespace
 
 TEST_F(MissingRecordTest, MissingKnownJobIsCheckedAndNotReported) {
-    EXPECT_EQ(prove_absence("run-1").outcome, Outcome::ok);
+    EXPECT_EQ(check_job_absence("run-1").outcome, Outcome::ok);
     expected["jobs/work/run-1"] = 1;
-    EXPECT_EQ(prove_absence("run-1").outcome, Outcome::refused);
+    EXPECT_EQ(check_job_absence("run-1").outcome, Outcome::refused);
     EXPECT_EQ(reported_missing, std::vector<std::string>{"jobs/work/run-1"});
     EXPECT_TRUE(suspicions.empty());
     EXPECT_TRUE(guard.is_open()) << "others are served";
 }
 
 TEST_F(MissingRecordTest, JobAcceptedMeanwhileIsNoSignOfLoss) {
-    EXPECT_EQ(prove_absence("run-1", false).outcome, Outcome::ok);
+    EXPECT_EQ(check_job_absence("run-1", false).outcome, Outcome::ok);
     EXPECT_TRUE(reported_missing.empty());
 }
 
@@ -169,7 +170,7 @@
     txn.changes.push_back({"jobs/over/run-1", boost::json::parse(done_outcome), 0});
     const auto mod_revision = inner.keys.commit(txn).revision;
     expected["jobs/work/run-1"] = 1;
-    EXPECT_EQ(prove_absence("run-1").outcome, Outcome::conflict);
+    EXPECT_EQ(check_job_absence("run-1").outcome, Outcome::conflict);
     EXPECT_EQ(run(guard.get("jobs/work/run-1", state::RequestPriority::user)).outcome, Outcome::ok);
     EXPECT_TRUE(reported_missing.empty());
     expected["jobs/over/run-1"] = mod_revision;
@@ -182,7 +183,7 @@
     EXPECT_EQ(reported_missing.size(), 2u);
 }
 
-// Else a placement would be written for a job whose cancellation was lost.
+// Guards against writing a placement for a job whose cancellation was lost.
 TEST_F(MissingRecordTest, NoWriteIsSentOnTheAbsenceOfAKnownRecord) {
     expected["jobs/over/run-1"] = 1;
     state::Txn txn;
--- a/tests/merge_test.cpp
+++ b/tests/merge_test.cpp
@@ -1,4 +1,4 @@
-// The merge of what the replicas and the store hold after a loss.
+// The merge of the records of all replicas and the store after a loss.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 using recovery::Merged;
 using recovery::ReplicaContents;
 
-// Merges them in every order, which must not matter.
+// Merges the sources in every order, and checks that the results are equal.
 Merged merged(std::vector<ReplicaContents> sources, const ReplicaContents& store = {}) {
     std::vector<std::size_t> order(sources.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
@@ -57,7 +57,8 @@
     EXPECT_EQ(r.records.size(), 1u);
 }
 
-// A controller that began after a service was set back knows less, and its revisions grow past what it never saw.
+// A controller that started after the store was reset to an earlier state lacks records that others hold, although its
+// revision later exceeds their mod revisions.
 TEST(MergeTest, WorkMissingFromAReplicaWithoutAnOutcomeWasNotRemoved) {
     const auto r = merged({replica_contents(1, 40, true, {}),
                            replica_contents(1, 30, true, {{"jobs/work/run-1", {25, work_record(3)}}})});
@@ -91,7 +92,7 @@
     EXPECT_FALSE(r.records.contains("jobs/work/run-4")) << "set back, it shows what had long been removed";
 }
 
-TEST(MergeTest, ReportsWhatIsLost) {
+TEST(MergeTest, ReportsLostRecords) {
     const auto r = merged({replica_contents(1, 50, true,
                                             {{"jobs/work/run-1/2", {20, work_record(4)}},
                                              {"jobs/work/run-2", {21, "7"}},
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -1,5 +1,5 @@
-// Two versions side by side, and limits that come without notice. The records of the version in production are written
-// out here, as it writes them, and are not produced by the code under test.
+// Two versions in one cluster, and store limits that are lowered without notice. The records of the version in
+// production are literals here, and are not produced by the code under test.
 #include "state/record_format.hpp"
 
 #include "model/job.hpp"
@@ -31,12 +31,12 @@
         ASSERT_EQ(keys.commit(txn).outcome, state::Outcome::ok);
     }
     std::string text(const std::string& key) const { return boost::json::serialize(keys.get(key).value); }
-    void meet(Worker& w) {
+    void register_worker(Worker& w) {
         heartbeat(w);
         heartbeat(w);
     }
-    // An array that an older version accepted and placed, one task a machine, in records of 256.
-    void large_array(std::uint32_t tasks) {
+    // Stores an array that an older version accepted and placed, one task per machine, in records of 256 tasks.
+    void store_large_array(std::uint32_t tasks) {
         auto spec = wire::spec_from_record(boost::json::parse(production_spec).as_object());
         spec.tasks = tasks;
         boost::json::array ranges;
@@ -49,14 +49,14 @@
             put(c ? "jobs/work/run-1/" + std::to_string(c) : "jobs/work/run-1", boost::json::serialize(value));
         }
     }
-    Worker on(std::uint32_t task) const {
+    Worker worker_of_task(std::uint32_t task) const {
         Worker w;
         w.name = "n-" + std::to_string(100'000 + task);
         w.type = "large";
         return w;
     }
-    // What a new leader would read of each task: its machine, "done" or "".
-    std::vector<std::string> read() {
+    // The state of each task as a new leader reads it: the name of its machine, "done" or "".
+    std::vector<std::string> tasks_read_by_new_leader() {
         SchedulerHarness reader;
         reader.keys = keys;
         reader.record_format = record_format;
@@ -90,7 +90,7 @@
     put("jobs/work/run-2", R"({"spec":7,"tasks":[]})");
     elect();
     settle();
-    meet(m1);
+    register_worker(m1);
     EXPECT_FALSE(place());
     EXPECT_FALSE(leader->knows("run-1"));
     EXPECT_GT(keys.get("jobs/work/run-1").mod_revision, 0u) << "nor is anything of it removed";
@@ -102,8 +102,8 @@
     accept(spec);
     EXPECT_EQ(text("jobs/work/run-1"), record("[]"));
     settle();
-    meet(m1);
-    ASSERT_TRUE(place());  // two fit
+    register_worker(m1);
+    ASSERT_TRUE(place());  // two tasks fit the machine
     EXPECT_EQ(text("jobs/work/run-1"), record(R"([[0,1,1,"n-000001",0],[2,2,0,"",0]])"));
     heartbeat(m1);
     m1.run_all();
@@ -128,10 +128,10 @@
     elect();
     accept(wire::spec_from_record(boost::json::parse(production_spec).as_object()));
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(leader->place(now));
     const auto late = leader->next_batch(1000);
-    // The old one wins the next term, places one task elsewhere and sees it end, and dies.
+    // The old controller wins the next term, places tasks elsewhere, sees one of them end, and crashes.
     put(election::term_key, R"({"n":2,"member":"two","lease":9})");
     term = 2;
     put("jobs/work/run-1", record(R"([[0,0,1,"",1],[1,1,1,"n-000007",0],[2,2,0,"",0]])"));
@@ -139,10 +139,10 @@
     elect();
     EXPECT_EQ(leader->count("run-1")->done, 1u);
     EXPECT_EQ(machine_of("run-1", 1), "n-000007");
-    // The last controller is replaced now; what follows is written within the new limits, and read after one more end.
+    // The last old controller is replaced now. Later writes keep to the new limits, and another leader reads them.
     lower_limits(380, 4);
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 2), "n-000001");
     EXPECT_EQ(text("jobs/work/run-1"), record(R"([[0,0,1,"",1],[1,1,1,"n-000007",0],[2,2,0,"",0]])"))
@@ -155,16 +155,16 @@
 
 TEST_F(RecordFormatUpgradeTest, LimitsFallDuringALargeArrayAndEveryWriteStaysReadable) {
     constexpr std::uint32_t tasks = 600;
-    large_array(tasks);
+    store_large_array(tasks);
     ASSERT_GT(text("jobs/work/run-1/1").size(), 6000u);
     elect();
     lower_limits(2048, 4);
     std::vector<Worker> workers;
-    for (std::uint32_t i = 0; i < tasks; ++i) workers.push_back(on(i));
+    for (std::uint32_t i = 0; i < tasks; ++i) workers.push_back(worker_of_task(i));
     std::vector<std::string> expected;
     for (const auto& w : workers) expected.push_back(w.name);
     for (std::uint32_t round = 0; round < 10; ++round) {
-        // A tenth of the tasks ends, here and there, and the leader dies and comes back in between.
+        // In each round every tenth task ends; after some rounds the leader is replaced.
         for (std::uint32_t i = round; i < tasks; i += 10) {
             model::TaskReport t;
             t.id = {"run-1", i};
@@ -174,13 +174,13 @@
             workers[i].tasks = {t};
             heartbeat(workers[i]);
         }
-        pass(Seconds(9));  // the records of ended tasks have waited long enough
+        pass(Seconds(9));  // so that the records of ended tasks are due
         leader->place(now);
         int writes = 0;
         while (commit_one()) {
             if (++writes > 200) FAIL() << "it goes on for ever";
             if (round == 9) continue;
-            const auto found = read();
+            const auto found = tasks_read_by_new_leader();
             ASSERT_EQ(found.size(), tasks);
             for (std::uint32_t i = 0; i < tasks; ++i)
                 ASSERT_TRUE(found[i] == expected[i] || (found[i] == "done" && i % 10 == round))
@@ -188,7 +188,7 @@
         }
         for (std::uint32_t i = round; i < tasks; i += 10) expected[i] = "done";
         if (round < 9) {
-            EXPECT_EQ(read(), expected) << round;
+            EXPECT_EQ(tasks_read_by_new_leader(), expected) << round;
         }
         if (round % 3 == 1) {
             elect();
@@ -223,7 +223,7 @@
 }
 
 TEST_F(RecordFormatUpgradeTest, RejectedRecordIsSplitAndBlocksNoOther) {
-    // The limits have fallen, and nobody here knows of it yet but for the refusal: no limits to come were announced.
+    // The limits were lowered without announcement: the leader learns of it only by a rejected transaction.
     record_format.set_supported_format(state::newest_format);
     elect();
     accept(job("run-2", JobKind::array, 90));
@@ -232,9 +232,9 @@
     settle();
     std::vector<Worker> workers;
     for (std::uint32_t i = 0; i < 91; ++i) {
-        workers.push_back(on(i));
+        workers.push_back(worker_of_task(i));
         workers.back().type = "small";
-        meet(workers.back());
+        register_worker(workers.back());
     }
     leader->place(now);
     for (int i = 0; i < 100 && commit_one(); ++i) {
@@ -255,7 +255,7 @@
     accept(spec);
     lower_limits(2048, 4);
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(place());
     ASSERT_TRUE(ordered(heartbeat(m1), CommandType::run, "run-2", 0));
     elect();
--- a/tests/record_replica_test.cpp
+++ b/tests/record_replica_test.cpp
@@ -1,4 +1,4 @@
-// The replica that a controller keeps of the records of jobs.
+// A controller's replica of the job records.
 #include "recovery/record_replica.hpp"
 
 #include <gtest/gtest.h>
@@ -78,7 +78,7 @@
     EXPECT_LT(record->text.size(), 100u);
     EXPECT_EQ(boost::json::parse(record->text),
               boost::json::parse(R"({"state":"done","at":1234567,"shape":"array","shards":2})"));
-    // The oldest format says nothing but state and submission.
+    // An outcome in the oldest format has no kind and number of tasks of its own, so it is kept unchanged.
     replica.add_page({item("jobs/over/run-2", R"({"state":"aborted","spec":{"shape":"array","shards":3}})", 5)});
     EXPECT_TRUE(replica.record("jobs/over/run-2")->text.find("spec") != std::string::npos);
     EXPECT_TRUE(replica.knows_job("run-2"));
@@ -91,27 +91,28 @@
                       item("jobs/work/run-3", work_record(1), 6)});
     replica.apply_own_write({"jobs/over/run-9", boost::json::parse(done_outcome), 0}, recovery::deferred_mod_revision);
     replica.pages_complete();
-    const auto mark = replica.mark();
+    const auto position = replica.position();
     EXPECT_TRUE(replica
-                    .missing_from(mark, "", "",
+                    .find_missing(position, "", "",
                                   {item("jobs/over/run-1", done_outcome, 4), item("jobs/work/run-2", work_record(1), 5),
                                    item("jobs/work/run-3", work_record(2), 8)})
                     .empty());
-    EXPECT_EQ(replica.missing_from(mark, "", "jobs/work/run-2", {item("jobs/work/run-2", work_record(0), 3)}).size(),
-              2u)
+    EXPECT_EQ(
+        replica.find_missing(position, "", "jobs/work/run-2", {item("jobs/work/run-2", work_record(0), 3)}).size(), 2u)
         << "one is gone, the other is older than it was; the third is on another page";
-    EXPECT_EQ(replica.missing_from(mark, "jobs/work/run-2", "", {item("jobs/work/run-3", "7", 6)}).size(), 1u)
+    EXPECT_EQ(replica.find_missing(position, "jobs/work/run-2", "", {item("jobs/work/run-3", "7", 6)}).size(), 1u)
         << "unreadable";
 }
 
-// A page that was asked for before a job was accepted cannot show it, however late it comes. The first version took it
-// for lost, and brought the service down for a minute (docs/incidents/loss-without-a-loss.md).
+// A page that was requested before a job was accepted does not show the job, however late the answer arrives. The first
+// version took such jobs for lost and made the service unavailable for a minute
+// (docs/incidents/loss-without-a-loss.md).
 TEST(RecordReplicaTest, RecordsLearnedAfterTheRequestAreNotMissingFromThePage) {
     RecordReplica replica;
     replica.begin(1, "a", 10);
     replica.add_page({item("jobs/work/run-1", work_record(0), 4), item("jobs/work/run-2", work_record(0), 5)});
     replica.pages_complete();
-    const auto asked = replica.mark();
+    const auto requested_at = replica.position();
     const std::vector<state::KeyValue> page{item("jobs/work/run-1", work_record(0), 4),
                                             item("jobs/work/run-2", work_record(0), 5)};
     replica.apply_own_write({"jobs/work/run-3", boost::json::parse(work_record(0)), 0}, 11);  // accepted
@@ -119,11 +120,11 @@
         13,
         {item("jobs/work/run-1", work_record(1), 12), item("jobs/work/run-4", work_record(0), 13)},  // placed, accepted
         {false, false}));
-    EXPECT_TRUE(replica.missing_from(asked, "", "", page).empty());
-    EXPECT_EQ(replica.missing_from(replica.mark(), "", "", page).size(), 3u) << "if it had been asked for now";
+    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty());
+    EXPECT_EQ(replica.find_missing(replica.position(), "", "", page).size(), 3u) << "if it had been asked for now";
     replica.begin(2, "b", 20);
     replica.pages_complete();
-    EXPECT_TRUE(replica.missing_from(asked, "", "", page).empty()) << "of another history";
+    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty()) << "of another history";
 }
 
 TEST(RecordReplicaTest, DigestDistinguishesOutcomesAndIgnoresLaterOnes) {
--- a/tests/recovery_coordinator_test.cpp
+++ b/tests/recovery_coordinator_test.cpp
@@ -1,4 +1,4 @@
-// The recovery coordinator on a store in memory, under a virtual time.
+// The recovery coordinator on an in-memory store, under simulated time.
 #include "recovery/recovery_coordinator.hpp"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
         callbacks.incarnation = 1;
         return callbacks;
     }
-    void pass(double seconds) {
+    void advance(double seconds) {
         for (double t = 0; t < seconds; t += 0.02) {
             now += std::chrono::milliseconds(20);
             io.restart();
@@ -59,12 +59,12 @@
 
 }  // namespace
 
-// A controller was out of reach while the others rebuilt, and alone holds a job that it accepted. What the store
-// refused of that was never tried again; and the others were certain that the job never was as soon as this one was
-// heard, before it had added anything.
+// A controller that was unreachable during a rebuild holds a job that only it accepted. Guards against two faults:
+// adding the record was not retried after the store had refused it, and the other controllers reported that the job
+// never existed as soon as this one was reachable, before it had added the record.
 TEST_F(RecoveryCoordinatorTest, RecordKnownToOneReplicaOnlyIsAddedDespiteRefusals) {
     net::asio::co_spawn(io, recovery.run(), net::asio::detached);
-    pass(10);
+    advance(10);
     ASSERT_TRUE(recovery.ready());
     ASSERT_TRUE(guarded.is_open());
     state::Txn txn;
@@ -74,9 +74,9 @@
     Outcome accepted = Outcome::unknown;
     net::asio::co_spawn(io, guarded.commit(std::move(txn), state::RequestPriority::user),
                         [&](std::exception_ptr, state::TxnResult r) { accepted = r.outcome; });
-    pass(0.1);
+    advance(0.1);
     ASSERT_EQ(accepted, Outcome::ok);
-    // The others have rebuilt what there was before.
+    // The other controllers have rebuilt the records without this replica.
     const auto revision = store.keys.revision();
     store.keys = Keys();
     while (store.keys.revision() < revision + 10) put("other", 1);
@@ -86,13 +86,13 @@
     marker.missing = {cluster.member};
     put(state::marker_key, state::marker_record(marker));
     store.refused_prefix = "jobs/";
-    pass(8);
+    advance(8);
     ASSERT_EQ(recovery.own_status().generation, 2u);
     EXPECT_EQ(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     EXPECT_FALSE(recovery.knows_all_jobs()) << "that a job never was";
     EXPECT_EQ(recovery.own_status().complete_up_to, 0u) << "nor may others be";
     store.refused_prefix.clear();
-    pass(3);
+    advance(3);
     EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
     EXPECT_TRUE(recovery.knows_all_jobs());
     EXPECT_GT(recovery.own_status().complete_up_to, 0u);
--- a/tests/request_limiter_test.cpp
+++ b/tests/request_limiter_test.cpp
@@ -1,4 +1,4 @@
-// Sharing of the store's request limits: token buckets and the queue before them.
+// The store's request limits: token buckets, and the queue of requests that wait for them.
 #include "state/request_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -20,8 +20,8 @@
     EXPECT_EQ(b.take(0, RequestPriority::leadership, start + 1s).count(), 0);
 }
 
-// What jobs that are over leave on record was removed ahead of what was new, and on a drawn day of Riga's swarm
-// nothing else was written any more.
+// Guards against a fault of a randomized simulation ("Riga's swarm"): leftover records of finished jobs were removed
+// before new records were written, until no other write was made.
 TEST(TokenBucketTest, GarbageIsCollectedOnlyWhileTokensArePlentiful) {
     using state::RequestPriority;
     const TimePoint start{100s};
@@ -31,27 +31,27 @@
     EXPECT_EQ(b.take(1, RequestPriority::bookkeeping, start).count(), 0);
 }
 
-// Rates so low that the time a test takes counts for nothing.
+// The write rate is so low that the bucket does not refill noticeably during the test.
 TEST(RequestLimiterTest, WritesQueueWithoutDelayingReadsOrLeadership) {
     using state::RequestPriority;
     net::asio::io_context io;
     state::RequestLimiter limiter(io.get_executor(), state::TokenBucket(1e6, 1e-3, model::Clock::now()));
     std::string order;
-    const auto enter = [&](double writes, RequestPriority priority, char mark) {
+    const auto acquire = [&](double writes, RequestPriority priority, char name) {
         net::asio::co_spawn(io, limiter.acquire(writes, priority),
-                            [&order, mark](std::exception_ptr) { order += mark; });
+                            [&order, name](std::exception_ptr) { order += name; });
         io.restart();
         io.poll();
     };
-    enter(1, RequestPriority::user, 'a');  // the one that the bucket still allows
-    enter(1, RequestPriority::user, 'b');
-    enter(2, RequestPriority::bookkeeping, 'c');
+    acquire(1, RequestPriority::user, 'a');  // admitted from the full bucket
+    acquire(1, RequestPriority::user, 'b');
+    acquire(2, RequestPriority::bookkeeping, 'c');
     EXPECT_EQ(limiter.write_wait().count(), 3000.0);
-    enter(0, RequestPriority::user, 'd');
-    enter(0, RequestPriority::leadership, 'e');
+    acquire(0, RequestPriority::user, 'd');
+    acquire(0, RequestPriority::leadership, 'e');
     EXPECT_EQ(order, "ade");
     EXPECT_EQ(limiter.take_demand(), 4.0);
-    EXPECT_EQ(limiter.take_demand(), 3.0);  // what still waits is asked for all the same
+    EXPECT_EQ(limiter.take_demand(), 3.0);  // writes that still wait count again
 }
 
 TEST(TokenBucketTest, WritesLargerThanASecondsShareNeverExceedTheRate) {
--- a/tests/snapshot_file_test.cpp
+++ b/tests/snapshot_file_test.cpp
@@ -49,7 +49,7 @@
         ASSERT_TRUE(snapshot_file.newest());
         EXPECT_EQ(snapshot_file.newest()->records, one.records) << n;
     }
-    // A crash before the rename leaves a part, which is nobody's.
+    // A crash before the rename leaves a temporary file, which is ignored.
     std::ofstream(files[1], std::ios::binary | std::ios::trunc) << bytes;
     std::ofstream(dir.path / "00000000000000000009-00000000000000000001.records.part") << bytes;
     EXPECT_EQ(snapshot_file.newest()->records, two.records);
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -1,4 +1,4 @@
-// The state service as a Store for coroutines: the same keys as in world.hpp, with leases and failures on demand.
+// An in-memory implementation of Store, with leases and failures on demand.
 #pragma once
 #include "model/clock.hpp"
 #include "support/scheduler_harness.hpp"
@@ -8,13 +8,13 @@
 class FakeStore : public state::Store {
   public:
     Keys keys;
-    bool refuse = false;          // an outage, or a refusal of this controller alone
-    int lost_commit_answers = 0;  // so many transactions are carried out, but their answers are lost
-    int hanging_commits = 0;      // so many transactions are carried out, and their answers never come
-    std::string refused_prefix;   // with this prefix, as under a limit on writes
+    bool refuse = false;          // all requests are refused, as in an outage
+    int lost_commit_answers = 0;  // number of next transactions that are carried out, but whose answers are lost
+    int hanging_commits = 0;      // number of next transactions that are carried out, but whose answers never arrive
+    std::string refused_prefix;   // changes of keys with this prefix are refused, as by a limit on writes
     int commits = 0, gets = 0;
-    std::optional<state::WatchResult> next_watch_result;  // what the next watch is told
-    bool empty_watches = false;                           // watches tell that nothing has changed
+    std::optional<state::WatchResult> next_watch_result;  // the result of the next watch
+    bool empty_watches = false;                           // watches succeed and report no changes
     std::chrono::duration<double> write_wait_time{0};
 
     net::awaitable<state::GetResult> get(std::string key, state::RequestPriority) override {
@@ -34,7 +34,7 @@
     net::awaitable<state::TxnResult> commit(state::Txn txn, state::RequestPriority) override {
         ++commits;
         auto ex = co_await net::asio::this_coro::executor;
-        co_await net::asio::post(ex, net::asio::use_awaitable);  // an answer takes a while; others come meanwhile
+        co_await net::asio::post(ex, net::asio::use_awaitable);  // other requests may be answered before this one
         state::TxnResult r;
         r.outcome = state::Outcome::refused;
         if (refuse) co_return r;
--- a/tests/support/golden_store.hpp
+++ b/tests/support/golden_store.hpp
@@ -1,5 +1,5 @@
-// What golden tests of whoever writes to the state service share: a service in memory that notes down each change, and
-// a time that passes only when it is told to.
+// Shared by golden tests of components that write to the store: an in-memory store that logs each change, and a
+// simulated clock.
 #pragma once
 #include "support/fake_store.hpp"
 #include "support/golden_support.hpp"
@@ -22,7 +22,7 @@
     SimulatedClock() { model::Clock::simulated = &now; }
     ~SimulatedClock() { model::Clock::simulated = nullptr; }
     SimulatedClock(const SimulatedClock&) = delete;
-    // What happens on `io` while these seconds pass.
+    // Advances the clock by `seconds` in steps of 20 ms, and runs the ready handlers of `io` at each step.
     void advance(net::asio::io_context& io, double seconds) {
         for (double t = 0; t < seconds; t += 0.02) {
             now += std::chrono::milliseconds(20);
--- a/tests/support/record_samples.hpp
+++ b/tests/support/record_samples.hpp
@@ -1,4 +1,4 @@
-// Records of jobs as they are on record, and what a replica or the store says of them, for tests of recovery.
+// Sample job records, replica contents and store answers for tests of the recovery package.
 #pragma once
 #include <map>
 #include <string>
@@ -14,14 +14,14 @@
 inline const std::string cancelled_outcome = R"({"state":"aborted","shape":"array","shards":2})";
 inline const std::string done_outcome = R"({"state":"done","shape":"array","shards":2})";
 
-// Work of which task 0 has that attempt on that machine; attempt 0: no task is placed.
+// A work record whose task 0 has that attempt on that machine; attempt 0: no task is placed.
 inline std::string work_record(std::uint64_t attempt, const std::string& machine = "n-1") {
     boost::json::array tasks;
     if (attempt) tasks = wire::ranges_to_record({{0, 0, attempt, machine, false}});
     return boost::json::serialize(boost::json::object{{"spec", boost::json::object()}, {"tasks", tasks}});
 }
 
-// Of the history "history-GENERATION".
+// Contents of the history "history-GENERATION".
 inline recovery::ReplicaContents replica_contents(std::uint64_t generation, std::uint64_t revision, bool complete,
                                                   std::map<std::string, recovery::Record> records) {
     recovery::ReplicaContents contents;
@@ -38,9 +38,10 @@
     return {key, boost::json::parse(text), mod_revision};
 }
 
+// A removal, as it appears among the events of a watch.
 inline state::KeyValue removed(const std::string& key, std::uint64_t mod_revision) { return {key, {}, mod_revision}; }
 
-// The answer of a watch.
+// The result of a watch.
 inline state::WatchResult changes(std::uint64_t revision, std::vector<state::KeyValue> events,
                                   std::vector<bool> deleted) {
     state::WatchResult result;
