--- a/src/recovery/late_records.cpp
+++ b/src/recovery/late_records.cpp
@@ -82,7 +82,8 @@
                       result.outcome == Outcome::too_large);
         if (context_.loss_suspected()) co_return false;
     }
-    if (added || lost) spdlog::info("event=late_records_restored added={} lost={} all={}", added, lost, all);
+    if (added || lost)
+        spdlog::info("event=late_records_restored added={} unrecoverable={} complete={}", added, lost, all);
     co_return all;
 }
 
--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -79,14 +79,14 @@
         const Record* record = nullptr;
     };
 
-    void report(std::string what) { unrecoverable_.insert(std::move(what)); }
+    void report(std::string problem) { unrecoverable_.insert(std::move(problem)); }
 
     // Takes the newest readable value of each key from the sources.
     void take_newest() {
         for (const auto* source : used_)
             for (const auto& [key, record] : source->records) {
                 if (!readable(key, record.text)) {
-                    report("unreadable " + key);
+                    report("unreadable value of " + key);
                     continue;
                 }
                 auto& newest = newest_[key];
@@ -94,7 +94,7 @@
                 const auto present =
                     newest.record ? std::tuple(newest.generation, newest.record->mod_revision) : std::tuple(0ul, 0ul);
                 if (newest.record && candidate == present && record.text != newest.record->text)
-                    report("two values of " + key);
+                    report("two different values of " + key);
                 if (!newest.record || candidate > present ||
                     (candidate == present && precedence(key, record.text) > precedence(key, newest.record->text)))
                     newest = {source->generation, &record};
@@ -130,7 +130,7 @@
     void add_stored(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
-                if (!out_.records.contains(key)) report("unreadable " + key);
+                if (!out_.records.contains(key)) report("unreadable value of " + key);
                 continue;
             }
             if (out_.records.contains(key)) continue;
@@ -159,7 +159,7 @@
             lost.insert(work->uid);
             return true;
         });
-        for (const auto& uid : lost) report("submission lost " + uid);
+        for (const auto& uid : lost) report("submission lost: " + uid);
         out_.unrecoverable.assign(unrecoverable_.begin(), unrecoverable_.end());
     }
 
--- a/src/recovery/outcome_digest.cpp
+++ b/src/recovery/outcome_digest.cpp
@@ -58,7 +58,7 @@
     txn.changes.push_back({digest_key, digest_record(digest), 0});
     const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::bookkeeping);
     if (result.outcome == state::Outcome::ok) written_count_ = count;
-    spdlog::debug("event=outcome_digest_written outcomes={} revision={} outcome={}", digest.outcomes.outcomes,
+    spdlog::debug("event=outcome_digest_written outcomes={} revision={} result={}", digest.outcomes.outcomes,
                   digest.revision, static_cast<int>(result.outcome));
 }
 
--- a/src/recovery/record_follower.cpp
+++ b/src/recovery/record_follower.cpp
@@ -52,8 +52,8 @@
     if (probe.outcome != Outcome::ok) co_return;
     const auto& marker = *context_.complete_marker;
     if (probe.revision < marker.mod_revision) {
-        context_.suspect_loss("its revisions went back: the marker is of " + std::to_string(marker.mod_revision) +
-                              ", it stands at " + std::to_string(probe.revision));
+        context_.suspect_loss("the marker has mod revision " + std::to_string(marker.mod_revision) +
+                              ", but the store is at revision " + std::to_string(probe.revision));
         co_return;
     }
     auto& replica = context_.replica;
@@ -129,9 +129,10 @@
     const auto& replica = context_.replica;
     const auto present = replica.digest(stored.revision);
     if (present == stored.outcomes && replica.jobs() >= stored.jobs) return true;
-    context_.suspect_loss(std::to_string(stored.outcomes.outcomes) + " outcomes of " + std::to_string(stored.jobs) +
-                              " jobs were on record at " + std::to_string(stored.revision) + ", and " +
-                              std::to_string(present.outcomes) + " of " + std::to_string(replica.jobs()) + " are at " +
+    context_.suspect_loss("the digest counts " + std::to_string(stored.outcomes.outcomes) + " outcomes and " +
+                              std::to_string(stored.jobs) + " jobs at revision " + std::to_string(stored.revision) +
+                              ", the replica holds " + std::to_string(present.outcomes) + " outcomes and " +
+                              std::to_string(replica.jobs()) + " jobs at revision " +
                               std::to_string(replica.revision()),
                           Loss::beyond_replica);
     return false;
--- a/src/recovery/record_scrubber.cpp
+++ b/src/recovery/record_scrubber.cpp
@@ -54,13 +54,14 @@
     }
     drop_explained(lost);
     for (const auto& finding : lost)
-        spdlog::error("event=record_lost key={} expected={} present={} revision={} replica_revision={}", finding.key,
-                      context_.replica.expected_mod_revision(finding.key), finding.present, finding.revision,
-                      context_.replica.revision());
+        spdlog::error(
+            "event=record_lost key={} expected_mod_revision={} stored_mod_revision={} revision={} replica_revision={}",
+            finding.key, context_.replica.expected_mod_revision(finding.key), finding.present, finding.revision,
+            context_.replica.revision());
     if (lost.size() > max_restored_records)
-        context_.suspect_loss(
-            std::to_string(lost.size()) + " records are gone that are remembered, the first of them " + lost[0].key,
-            Loss::records);
+        context_.suspect_loss(std::to_string(lost.size()) +
+                                  " records of the replica are missing from the store, the first is " + lost[0].key,
+                              Loss::records);
     else if (!lost.empty())
         co_await restore_records(std::move(marker), std::move(lost));
 }
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -18,7 +18,7 @@
 
 void log_sources(const GatheredOffers& gathered) {
     for (const auto& source : gathered.sources)
-        spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", source.from,
+        spdlog::debug("event=replica_contents source={} generation={} revision={} complete={} records={}", source.from,
                       source.generation, source.revision, source.complete, source.records.size());
     for (const auto& member : gathered.missing) spdlog::error("event=replica_offer_missing member={}", member);
 }
@@ -54,7 +54,7 @@
     if (!stored || !still_leads(term)) co_return;
     log_sources(*gathered);
     const auto merged = merge(gathered->sources, stored->contents);
-    for (const auto& what : merged.unrecoverable) spdlog::error("event=record_unrecoverable what=\"{}\"", what);
+    for (const auto& reason : merged.unrecoverable) spdlog::error("event=record_unrecoverable why=\"{}\"", reason);
     pass_on_outcomes(merged, gathered->missing.empty());
     marker.phase = GenerationMarker::Phase::restoring;
     marker.mod_revision = co_await markers_.replace(marker);
@@ -82,8 +82,8 @@
         co_return false;
     }
     marker.mod_revision = mod_revision;
-    spdlog::info("event=recovery_started generation={} term={} replica_records={} revision={}", marker.generation, term,
-                 replica.size(), replica.revision());
+    spdlog::info("event=recovery_started generation={} term={} replica_records={} replica_revision={}",
+                 marker.generation, term, replica.size(), replica.revision());
     co_return true;
 }
 
@@ -125,7 +125,8 @@
         if (merged.records.contains(scheduler::outcome_key(uid))) continue;
         if (merged.records.contains(scheduler::work_key(uid, 0))) continue;
         ++count;
-        spdlog::error("event=job_unrecoverable job={} why=\"a worker shows it, and nobody remembers it\"", uid);
+        spdlog::error("event=job_unrecoverable job={} why=\"a worker runs its tasks, but no source holds its records\"",
+                      uid);
     }
     return count;
 }
@@ -144,9 +145,10 @@
         changes.push_back({reconciliation_pending_key, boost::json::object{{"generation", marker.generation}}, 0});
     const auto mod_revision = co_await markers_.replace_with(marker, std::move(changes));
     if (!mod_revision) co_return false;
-    spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
-                 marker.generation, merged.records.size(), restored, gathered.sources.size(), unrecoverable,
-                 !marker.loss_exceeds_replica);
+    spdlog::info(
+        "event=recovery_finished generation={} records={} restored={} sources={} unrecoverable={} placements_known={}",
+        marker.generation, merged.records.size(), restored, gathered.sources.size(), unrecoverable,
+        !marker.loss_exceeds_replica);
     co_return true;
 }
 
--- a/src/recovery/recovery_context.cpp
+++ b/src/recovery/recovery_context.cpp
@@ -41,7 +41,7 @@
 }
 
 void RecoveryContext::suspect_revision_rollback(std::uint64_t revision) {
-    suspect_loss("its revisions went back to " + std::to_string(revision));
+    suspect_loss("store revision decreased to " + std::to_string(revision));
 }
 
 void RecoveryContext::record_missing(const std::string& key) {
--- a/src/recovery/recovery_coordinator.cpp
+++ b/src/recovery/recovery_coordinator.cpp
@@ -105,7 +105,7 @@
     if (!marker) {
         context_.guarded_store.close();
         if (item.mod_revision)
-            co_await declare_loss(item.mod_revision, 0, "the marker is damaged");
+            co_await declare_loss(item.mod_revision, 0, "the generation marker is unreadable");
         else
             co_await handle_missing_marker(std::move(known));
     } else if (!marker->is_complete()) {
@@ -113,15 +113,16 @@
     } else if (context_.loss_suspected()) {
         co_await declare_loss(marker->mod_revision, marker->generation, *context_.suspicion.why);
     } else if (contradicts(*marker, known)) {
-        co_await declare_loss(marker->mod_revision, marker->generation, "another history than this was known before");
+        co_await declare_loss(marker->mod_revision, marker->generation,
+                              "the generation marker contradicts a known history");
     } else {
         co_await follow_complete_records(*marker);
     }
 }
 
 // A store that never had a marker gets one at the first start of the cluster, or when the first controller of a version
-// that uses markers starts. A store that lost its marker looks the same, so a controller first waits until every peer
-// has sent its status, which shows whether it knows a marker, or until marker_peer_wait has passed.
+// that uses markers starts. A store that lost its marker looks the same. A controller therefore first waits for the
+// status of every peer, which shows whether that peer knows a marker, but at most for marker_peer_wait.
 bool RecoveryCoordinator::may_create_marker() const {
     if (Clock::now() - started_at_ > marker_peer_wait) return true;
     const auto& peers = context_.settings.peers;
@@ -131,7 +132,7 @@
 
 awaitable<void> RecoveryCoordinator::handle_missing_marker(std::vector<History> known) {
     if (!known.empty() || context_.loss_suspected()) {
-        auto why = context_.suspicion.why.value_or("the marker is gone");
+        auto why = context_.suspicion.why.value_or("the generation marker is missing");
         co_await declare_loss(0, 0, std::move(why));
         co_return;
     }
@@ -163,8 +164,9 @@
         co_return;
     }
     context_.clear_suspicion();
-    spdlog::error("event=data_loss_declared generation={} why=\"{}\" over={} replica_records={} revision={}",
-                  marker.generation, why, replaced_revision, context_.replica.size(), context_.replica.revision());
+    spdlog::error(
+        "event=data_loss_declared generation={} why=\"{}\" replaced_revision={} replica_records={} replica_revision={}",
+        marker.generation, why, replaced_revision, context_.replica.size(), context_.replica.revision());
 }
 
 // --- while the records are complete ---
@@ -323,7 +325,7 @@
 void RecoveryCoordinator::note_loss(const GenerationMarker& marker) {
     if (!context_.records_lost || context_.loss_noticed_at == model::TimePoint{}) {
         context_.loss_noticed_at = Clock::now();
-        spdlog::error("event=records_lost generation={} replica_records={} revision={}", marker.generation,
+        spdlog::error("event=records_lost generation={} replica_records={} replica_revision={}", marker.generation,
                       context_.replica.size(), context_.replica.revision());
     }
     context_.records_lost = true;
--- a/src/recovery/replica_offers.cpp
+++ b/src/recovery/replica_offers.cpp
@@ -52,7 +52,7 @@
     for (std::uint64_t n = 0; n < offer.pages; ++n) {
         const auto page = items.find(prefix + std::to_string(n));
         try {
-            if (page == items.end()) throw wire::DecodeError("missing");
+            if (page == items.end()) throw wire::DecodeError("page is missing");
             for (auto& r : decode_page(*page->second))
                 contents.records.emplace(std::move(r.key), Record{r.mod_revision, std::move(r.text)});
         } catch (const std::exception& e) {
--- a/src/recovery/snapshot_file.cpp
+++ b/src/recovery/snapshot_file.cpp
@@ -73,15 +73,15 @@
     std::ifstream in(path, std::ios::binary);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
     std::string_view rest(bytes);
-    if (!rest.starts_with(magic)) throw wire::DecodeError("no snapshot of ours");
+    if (!rest.starts_with(magic)) throw wire::DecodeError("not a snapshot file");
     rest.remove_prefix(magic.size());
     std::vector<std::vector<wire::ArchivedRecord>> pages;
     while (!rest.empty()) {
-        if (rest.size() < frame_header_bytes) throw wire::DecodeError("torn");
+        if (rest.size() < frame_header_bytes) throw wire::DecodeError("file is truncated");
         std::size_t size = 0;
         for (std::size_t i = frame_header_bytes; i-- > 0;) size = size << 8 | static_cast<unsigned char>(rest[i]);
         rest.remove_prefix(frame_header_bytes);
-        if (rest.size() < size) throw wire::DecodeError("torn");
+        if (rest.size() < size) throw wire::DecodeError("file is truncated");
         pages.push_back(wire::decode_archive(rest.substr(0, size)));
         rest.remove_prefix(size);
     }
@@ -91,9 +91,11 @@
 // Throws unless the file is intact and contains all pages named in its header.
 ReplicaContents read(const fs::path& path) {
     auto pages = read_pages(path);
-    if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key) throw wire::DecodeError("no header");
+    if (pages.empty() || pages[0].size() != 1 || pages[0][0].key != header_key)
+        throw wire::DecodeError("header page is missing");
     const auto header = wire::parse_object(pages[0][0].text);
-    if (header.at("pages").to_number<std::size_t>() + 1 != pages.size()) throw wire::DecodeError("torn");
+    if (header.at("pages").to_number<std::size_t>() + 1 != pages.size())
+        throw wire::DecodeError("number of pages differs from the header");
     ReplicaContents contents;
     contents.from = "snapshot " + path.filename().string();
     contents.generation = header.at("generation").to_number<std::uint64_t>();
--- a/src/state/guarded_store.cpp
+++ b/src/state/guarded_store.cpp
@@ -55,8 +55,8 @@
     if (known.transitions != transitions_) return false;
     if (!is_open()) return true;
     if (revision < known.revision) {
-        const auto why = "its revisions went back: " + std::to_string(known.revision) + " was seen, then " +
-                         std::to_string(revision);
+        const auto why =
+            "store revision decreased from " + std::to_string(known.revision) + " to " + std::to_string(revision);
         suspect_loss(why.c_str());
         return false;
     }
@@ -157,7 +157,7 @@
 void GuardedStore::validate_commit(const PendingCommit& pending, TxnResult& result) {
     if (!is_definite(result.outcome)) return;
     if (result.outcome == Outcome::conflict && has_failed(result, marker_key)) {
-        if (pending.known.transitions == transitions_) suspect_loss("its marker is another");
+        if (pending.known.transitions == transitions_) suspect_loss("the generation marker has changed");
         result.outcome = Outcome::refused;
         return;
     }
--- a/src/state/http_store.cpp
+++ b/src/state/http_store.cpp
@@ -103,7 +103,8 @@
     spdlog::info("event=transaction_rejected changes={} conditions={} body={}", txn.changes.size(),
                  txn.conditions.size(), answer);
     if (!record_format_.handle_rejection(largest_value, txn.changes.size(), txn.conditions.size())) return;
-    spdlog::info("event=limits_lowered format={} why=\"a size was refused\"", record_format_.format());
+    spdlog::info("event=limits_lowered format={} why=\"the store rejected a transaction within the previous limits\"",
+                 record_format_.format());
     set_rates();
 }
 
--- a/tests/consistency_check_test.cpp
+++ b/tests/consistency_check_test.cpp
@@ -49,7 +49,7 @@
 TEST_F(ConsistencyCheckTest, PresentNewerOrProperlyRemovedRecordsAreIntact) {
     EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::intact);
     EXPECT_EQ(recheck("jobs/over/run-2").verdict, Verdict::intact);
-    EXPECT_EQ(recheck("jobs/work/run-7").verdict, Verdict::intact) << "nobody remembers it";
+    EXPECT_EQ(recheck("jobs/work/run-7").verdict, Verdict::intact) << "the replica does not hold it";
     put("jobs/work/run-1", work_record(2));
     EXPECT_EQ(recheck("jobs/work/run-1").verdict, Verdict::intact);
     put("jobs/over/run-1", cancelled_outcome);
--- a/tests/golden_recovery_test.cpp
+++ b/tests/golden_recovery_test.cpp
@@ -155,14 +155,14 @@
     CoordinatorOnFakeStore service("hearth-1", "hearth-0");
     const auto records = records_of_jobs();
     for (const auto& record : records) service.put({record});
-    auto former = markers().at(1);
-    former.id = "hearth-1-1";
-    former.loss_exceeds_replica = offering == Offering::has_led_reconciliation_pending;
-    service.put({marker_change(former)});
+    auto previous = markers().at(1);
+    previous.id = "hearth-1-1";
+    previous.loss_exceeds_replica = offering == Offering::has_led_reconciliation_pending;
+    service.put({marker_change(previous)});
     state::Change pending;
     pending.key = recovery::reconciliation_pending_key;
     pending.value = boost::json::object();
-    if (former.loss_exceeds_replica) service.put({pending});
+    if (previous.loss_exceeds_replica) service.put({pending});
     service.start();
     service.advance(3);
     if (offering == Offering::has_led || offering == Offering::has_led_reconciliation_pending)
@@ -176,7 +176,7 @@
     marker.rebuilder = "hearth-0";
     marker.term = own_term;
     if (offering == Offering::newer_only) {
-        marker.base_history = former.id;
+        marker.base_history = previous.id;
         marker.base_revision = records.size() - 1;
     }
     service.store.change_log.clear();
@@ -232,14 +232,14 @@
 TEST(GoldenTest, OffersToARebuilderAreWrittenAsBefore) {
     expect_golden("offers.txt", offers_of(Offering::all));
     expect_golden("offers_of_a_former_leader.txt", offers_of(Offering::has_led));
-    expect_golden("offers_while_unsettled.txt", offers_of(Offering::has_led_reconciliation_pending));
-    expect_golden("offers_of_what_is_newer.txt", offers_of(Offering::newer_only));
+    expect_golden("offers_reconciliation_pending.txt", offers_of(Offering::has_led_reconciliation_pending));
+    expect_golden("offers_newer_records_only.txt", offers_of(Offering::newer_only));
 }
 
 // A recovery coordinator with an empty replica rebuilds the same records from offers that an earlier version made, and
 // derives from the terms in them whether the last placements are known.
 TEST(GoldenTest, RecordsAreRebuiltFromOffersOfAnEarlierVersion) {
-    for (const std::string name : {"offers", "offers_of_a_former_leader", "offers_while_unsettled"}) {
+    for (const std::string name : {"offers", "offers_of_a_former_leader", "offers_reconciliation_pending"}) {
         CoordinatorOnFakeStore service("hearth-0", "hearth-1");
         service.put({marker_change(markers().at(3))});
         service.put(only(changes_in(name + ".txt"), recovery::offers_prefix));
@@ -272,7 +272,7 @@
     service.advance(10);
     EXPECT_TRUE(service.began);
     EXPECT_TRUE(service.began_with_reconciliation_pending);
-    expect_golden("owed_is_paid_back.txt", service.store.change_log);
+    expect_golden("deferred_outcomes_restored.txt", service.store.change_log);
 }
 
 // A digest of an earlier version is compared with all records and with fewer: a loss is declared only in the second
--- a/tests/guarded_store_test.cpp
+++ b/tests/guarded_store_test.cpp
@@ -94,7 +94,8 @@
     ASSERT_EQ(put("jobs/work/run-1").outcome, Outcome::ok);
     ASSERT_EQ(put("jobs/work/run-2").outcome, Outcome::ok);
     inner.keys = copy;
-    EXPECT_EQ(put("jobs/work/run-3").outcome, Outcome::unknown) << "it stands, in a service that is not what it was";
+    EXPECT_EQ(put("jobs/work/run-3").outcome, Outcome::unknown)
+        << "the write took effect, but in a store that was reset";
     EXPECT_EQ(suspicions.size(), 1u);
     EXPECT_FALSE(store.is_open());
     EXPECT_EQ(run(store.get("jobs/work/run-3", state::RequestPriority::user)).outcome, Outcome::refused);
@@ -157,7 +158,7 @@
     EXPECT_EQ(check_job_absence("run-1").outcome, Outcome::refused);
     EXPECT_EQ(reported_missing, std::vector<std::string>{"jobs/work/run-1"});
     EXPECT_TRUE(suspicions.empty());
-    EXPECT_TRUE(guard.is_open()) << "others are served";
+    EXPECT_TRUE(guard.is_open()) << "requests on other keys are still served";
 }
 
 TEST_F(MissingRecordTest, JobAcceptedMeanwhileIsNoSignOfLoss) {
@@ -177,9 +178,10 @@
     EXPECT_EQ(run(guard.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::ok);
     expected["jobs/over/run-1"] = mod_revision + 4;
     EXPECT_EQ(run(guard.get("jobs/over/run-1", state::RequestPriority::user)).outcome, Outcome::refused)
-        << "older than it was";
+        << "the record is older than expected";
     expected["jobs/over/run-2"] = mod_revision;
-    EXPECT_EQ(run(guard.get("jobs/over/run-2", state::RequestPriority::user)).outcome, Outcome::refused) << "gone";
+    EXPECT_EQ(run(guard.get("jobs/over/run-2", state::RequestPriority::user)).outcome, Outcome::refused)
+        << "the record is absent";
     EXPECT_EQ(reported_missing.size(), 2u);
 }
 
--- a/tests/merge_test.cpp
+++ b/tests/merge_test.cpp
@@ -85,11 +85,11 @@
                                              {"jobs/over/run-4", {22, cancelled_outcome}}})},
                           store);
     EXPECT_EQ(r.records.at("jobs/work/run-1"), work_record(4))
-        << "its stamps say nothing beside those of the lost history";
+        << "mod revisions of the store are not comparable with those of the lost history";
     EXPECT_EQ(r.records.at("jobs/over/run-2"), done_outcome);
     EXPECT_FALSE(r.records.contains("jobs/work/run-2"));
     EXPECT_TRUE(r.records.contains("jobs/work/run-3"));
-    EXPECT_FALSE(r.records.contains("jobs/work/run-4")) << "set back, it shows what had long been removed";
+    EXPECT_FALSE(r.records.contains("jobs/work/run-4")) << "a store that was reset shows work that had been removed";
 }
 
 TEST(MergeTest, ReportsLostRecords) {
@@ -99,8 +99,9 @@
                                              {"jobs/work/run-3", {22, work_record(1)}}}),
                            replica_contents(1, 50, true, {{"jobs/work/run-3", {22, work_record(2)}}})});
     EXPECT_EQ(r.records, (std::map<std::string, std::string>{{"jobs/work/run-3", work_record(2)}}));
-    EXPECT_EQ(r.unrecoverable, (std::vector<std::string>{"submission lost run-1", "two values of jobs/work/run-3",
-                                                         "unreadable jobs/work/run-2"}));
+    EXPECT_EQ(r.unrecoverable,
+              (std::vector<std::string>{"submission lost: run-1", "two different values of jobs/work/run-3",
+                                        "unreadable value of jobs/work/run-2"}));
 }
 
 }  // namespace flintdale::test
--- a/tests/record_format_test.cpp
+++ b/tests/record_format_test.cpp
@@ -93,7 +93,7 @@
     register_worker(m1);
     EXPECT_FALSE(place());
     EXPECT_FALSE(leader->knows("run-1"));
-    EXPECT_GT(keys.get("jobs/work/run-1").mod_revision, 0u) << "nor is anything of it removed";
+    EXPECT_GT(keys.get("jobs/work/run-1").mod_revision, 0u) << "unreadable records are not removed";
 }
 
 TEST_F(RecordFormatUpgradeTest, WritesWhatTheOldVersionWouldBeforeTheSwitch) {
@@ -146,7 +146,7 @@
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 2), "n-000001");
     EXPECT_EQ(text("jobs/work/run-1"), record(R"([[0,0,1,"",1],[1,1,1,"n-000007",0],[2,2,0,"",0]])"))
-        << "it does not fit any more, and stays as it is";
+        << "the record exceeds the new limits and stays unchanged";
     elect();
     EXPECT_EQ(machine_of("run-1", 1), "n-000007");
     EXPECT_EQ(machine_of("run-1", 2), "n-000001");
@@ -178,7 +178,7 @@
         leader->place(now);
         int writes = 0;
         while (commit_one()) {
-            if (++writes > 200) FAIL() << "it goes on for ever";
+            if (++writes > 200) FAIL() << "the scheduler does not stop writing";
             if (round == 9) continue;
             const auto found = tasks_read_by_new_leader();
             ASSERT_EQ(found.size(), tasks);
@@ -200,7 +200,7 @@
     }
     EXPECT_EQ(state_of("run-1"), "done");
     commit();
-    EXPECT_TRUE(keys.range("jobs/work/").empty()) << "nothing of it is left over";
+    EXPECT_TRUE(keys.range("jobs/work/").empty()) << "all work records are removed";
 }
 
 TEST(RecordFormatTest, RefusedSizeProvesTheNewLimitsOnlyIfThePresentOnesAllowIt) {
@@ -209,17 +209,18 @@
     s.next_store_limits->value_bytes = 2048;
     s.next_store_limits->txn_ops = 4;
     state::RecordFormat record_format(s);
-    EXPECT_FALSE(record_format.handle_rejection(2048, 4, 16)) << "both allow it: something else is wrong with it";
-    EXPECT_FALSE(record_format.handle_rejection(20'000, 1, 1)) << "neither allows it";
+    EXPECT_FALSE(record_format.handle_rejection(2048, 4, 16))
+        << "both limits allow it, so the rejection has another cause";
+    EXPECT_FALSE(record_format.handle_rejection(20'000, 1, 1)) << "neither the current nor the next limits allow it";
     EXPECT_FALSE(record_format.newest());
     EXPECT_TRUE(record_format.handle_rejection(100, 5, 6));
     EXPECT_TRUE(record_format.newest());
     EXPECT_EQ(record_format.limits().value_bytes, 2048u);
-    EXPECT_FALSE(record_format.handle_rejection(3000, 1, 1)) << "no news any more";
+    EXPECT_FALSE(record_format.handle_rejection(3000, 1, 1)) << "the next limits are already in force";
     s.next_store_limits.reset();
     state::RecordFormat before(s);
     EXPECT_FALSE(before.handle_rejection(15'000, 12, 48));
-    EXPECT_FALSE(before.newest()) << "no limits are to come";
+    EXPECT_FALSE(before.newest()) << "no next limits are announced";
 }
 
 TEST_F(RecordFormatUpgradeTest, RejectedRecordIsSplitAndBlocksNoOther) {
@@ -243,7 +244,7 @@
     int runs = 0;
     for (auto& w : workers)
         for (const auto& o : heartbeat(w)) runs += o.type == CommandType::run;
-    EXPECT_EQ(runs, 91) << "all that was placed is on record";
+    EXPECT_EQ(runs, 91) << "every placement is stored";
 }
 
 TEST_F(RecordFormatUpgradeTest, JobsWithLargeDescriptionsRunUnderSmallLimits) {
@@ -277,7 +278,7 @@
     for (int i = 0; i < 200; ++i) spec.dependencies.push_back("run-" + std::to_string(100'000 + i));
     spec.zone = "b\"\\\u00e9";
     accept(spec);
-    EXPECT_FALSE(leader->knows("run-2")) << "only its first record was told";
+    EXPECT_FALSE(leader->knows("run-2")) << "the scheduler has received only the first record";
     read_missing();
     ASSERT_TRUE(leader->knows("run-2"));
     EXPECT_EQ(leader->job("run-2")->spec.dependencies, spec.dependencies);
--- a/tests/record_replica_test.cpp
+++ b/tests/record_replica_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(all.records.at("jobs/work/run-1"),
               (Record{12, boost::json::serialize(boost::json::parse(work_record(2)))}));
     EXPECT_FALSE(all.records.contains("jobs/work/run-2"));
-    EXPECT_EQ(replica.source("me", 11).records.size(), 1u) << "what is newer than that";
+    EXPECT_EQ(replica.source("me", 11).records.size(), 1u) << "only the record newer than the given revision";
     EXPECT_FALSE(replica.source("me", 11).complete);
 }
 
@@ -99,9 +99,9 @@
                     .empty());
     EXPECT_EQ(
         replica.find_missing(position, "", "jobs/work/run-2", {item("jobs/work/run-2", work_record(0), 3)}).size(), 2u)
-        << "one is gone, the other is older than it was; the third is on another page";
+        << "one is absent and one is older; the third is not in the range of the page";
     EXPECT_EQ(replica.find_missing(position, "jobs/work/run-2", "", {item("jobs/work/run-3", "7", 6)}).size(), 1u)
-        << "unreadable";
+        << "the value is unreadable";
 }
 
 // A page that was requested before a job was accepted does not show the job, however late the answer arrives. The first
@@ -121,10 +121,11 @@
         {item("jobs/work/run-1", work_record(1), 12), item("jobs/work/run-4", work_record(0), 13)},  // placed, accepted
         {false, false}));
     EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty());
-    EXPECT_EQ(replica.find_missing(replica.position(), "", "", page).size(), 3u) << "if it had been asked for now";
+    EXPECT_EQ(replica.find_missing(replica.position(), "", "", page).size(), 3u)
+        << "all three count as missing from a page that is requested now";
     replica.begin(2, "b", 20);
     replica.pages_complete();
-    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty()) << "of another history";
+    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty()) << "the position belongs to another history";
 }
 
 TEST(RecordReplicaTest, DigestDistinguishesOutcomesAndIgnoresLaterOnes) {
@@ -134,7 +135,7 @@
                 item("jobs/over/run-3", done_outcome, 9)});
     b.add_page({item("jobs/over/run-1", done_outcome, 4), item("jobs/over/run-4", done_outcome, 5)});
     EXPECT_EQ(a.digest(5).outcomes, 2u);
-    EXPECT_NE(a.digest(5), b.digest(5)) << "as many, and others";
+    EXPECT_NE(a.digest(5), b.digest(5)) << "the same number of outcomes, but of other jobs";
     const auto before = a.digest(8);
     a.add_page({item("jobs/over/run-5", done_outcome, 12)});
     EXPECT_EQ(a.digest(8), before);
--- a/tests/recovery_coordinator_test.cpp
+++ b/tests/recovery_coordinator_test.cpp
@@ -89,8 +89,9 @@
     advance(8);
     ASSERT_EQ(recovery.own_status().generation, 2u);
     EXPECT_EQ(store.keys.get("jobs/work/run-1").mod_revision, 0u);
-    EXPECT_FALSE(recovery.knows_all_jobs()) << "that a job never was";
-    EXPECT_EQ(recovery.own_status().complete_up_to, 0u) << "nor may others be";
+    EXPECT_FALSE(recovery.knows_all_jobs()) << "the job may exist in the records of this controller";
+    EXPECT_EQ(recovery.own_status().complete_up_to, 0u)
+        << "peers must not rely on the replica before its records are added";
     store.refused_prefix.clear();
     advance(3);
     EXPECT_GT(store.keys.get("jobs/work/run-1").mod_revision, 0u);
--- a/tests/snapshot_file_test.cpp
+++ b/tests/snapshot_file_test.cpp
@@ -62,9 +62,9 @@
     EXPECT_EQ(std::distance(fs::directory_iterator(dir.path), fs::directory_iterator()), 2);
     EXPECT_EQ(snapshot_file.newest()->revision, 5u);
     std::ofstream(dir.path / "file") << "not a directory";
-    recovery::SnapshotFile nowhere(dir.path / "file");
-    EXPECT_FALSE(nowhere.put(replica_contents(1, 1, true, {})));
-    EXPECT_FALSE(nowhere.newest());
+    recovery::SnapshotFile unwritable(dir.path / "file");
+    EXPECT_FALSE(unwritable.put(replica_contents(1, 1, true, {})));
+    EXPECT_FALSE(unwritable.newest());
 }
 
 }  // namespace flintdale::test
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -8,7 +8,7 @@
 class FakeStore : public state::Store {
   public:
     Keys keys;
-    bool refuse = false;          // all requests are refused, as in an outage
+    bool refuse = false;          // requests are refused, as in an outage
     int lost_commit_answers = 0;  // number of next transactions that are carried out, but whose answers are lost
     int hanging_commits = 0;      // number of next transactions that are carried out, but whose answers never arrive
     std::string refused_prefix;   // changes of keys with this prefix are refused, as by a limit on writes
--- a/tests/support/record_samples.hpp
+++ b/tests/support/record_samples.hpp
@@ -25,7 +25,7 @@
 inline recovery::ReplicaContents replica_contents(std::uint64_t generation, std::uint64_t revision, bool complete,
                                                   std::map<std::string, recovery::Record> records) {
     recovery::ReplicaContents contents;
-    contents.from = "somebody";
+    contents.from = "test";
     contents.generation = generation;
     contents.id = "history-" + std::to_string(generation);
     contents.revision = revision;
