--- a/src/recovery/merge.cpp
+++ b/src/recovery/merge.cpp
@@ -30,8 +30,8 @@
     return model::JobState::open;
 }
 
-// Two sources of one history cannot hold different values of one revision of a key, but for damage or a history that
-// forked. Then done takes precedence over cancelled, and a higher attempt over a lower one.
+// Decides between two values of one key with the same generation and mod revision, which only damage or a forked
+// history can cause: done takes precedence over cancelled, and a higher attempt over a lower one.
 auto precedence(const std::string& key, const std::string& text) {
     std::uint64_t rank = 0;
     if (is_outcome_key(key)) {
@@ -53,14 +53,14 @@
     return o && (!is_outcome_key(key) || state_of(text) != model::JobState::open);
 }
 
-// One merge. The steps of merge() come in the order in which they must be taken.
+// The state of one merge. merge() calls the steps in the required order.
 class Merger {
   public:
     explicit Merger(const std::vector<ReplicaContents>& sources) {
         for (const auto& source : sources)
-            if (source.whole) newest_whole_ = std::max(newest_whole_, source.generation);
+            if (source.complete) newest_complete_ = std::max(newest_complete_, source.generation);
         for (const auto& source : sources)
-            if (source.generation >= newest_whole_) used_.push_back(&source);
+            if (source.generation >= newest_complete_) used_.push_back(&source);
     }
 
     Merged merge(const ReplicaContents& store) {
@@ -73,20 +73,20 @@
     }
 
   private:
-    // The newest value of a key so far, and the generation of its source.
+    // The newest value of a key found so far, and the generation of its source.
     struct Newest {
         std::uint64_t generation = 0;
         const Record* record = nullptr;
     };
 
-    void report(std::string what) { unrecoverable_.insert(std::move(what)); }
+    void report(std::string problem) { unrecoverable_.insert(std::move(problem)); }
 
     // Takes the newest readable value of each key from the sources.
     void take_newest() {
         for (const auto* source : used_)
             for (const auto& [key, record] : source->records) {
                 if (!readable(key, record.text)) {
-                    report("unreadable " + key);
+                    report("unreadable value of " + key);
                     continue;
                 }
                 auto& newest = newest_[key];
@@ -94,18 +94,19 @@
                 const auto present =
                     newest.record ? std::tuple(newest.generation, newest.record->mod_revision) : std::tuple(0ul, 0ul);
                 if (newest.record && candidate == present && record.text != newest.record->text)
-                    report("two values of " + key);
+                    report("two different values of " + key);
                 if (!newest.record || candidate > present ||
                     (candidate == present && precedence(key, record.text) > precedence(key, newest.record->text)))
                     newest = {source->generation, &record};
             }
     }
 
-    // Only work of jobs that are over is ever removed, and only whoever knows the outcome can have seen that: what a
-    // source lacks beside that it may have lost, or never had, for it began with a store that was set back.
+    // Drops work records that were removed before the loss. Work is only removed once its job has an outcome, so a
+    // complete source must hold that outcome. A source that lacks a record without holding the outcome may have lost
+    // it. It may also never have had it, if it was loaded from a store that had been reset to an earlier state.
     void drop_removed() {
         for (const auto* source : used_) {
-            if (!source->whole) continue;
+            if (!source->complete) continue;
             std::erase_if(newest_, [&](const auto& entry) {
                 const auto& [key, newest] = entry;
                 if (is_outcome_key(key) || newest.generation != source->generation ||
@@ -117,32 +118,32 @@
         }
     }
 
-    // Whether a whole source holds the job.
-    bool known_to_whole(const std::string& uid) const {
+    // Whether a complete source holds the job.
+    bool known_to_complete_source(const std::string& uid) const {
         return std::any_of(used_.begin(), used_.end(), [&](const ReplicaContents* source) {
-            return source->whole && (source->records.contains(scheduler::outcome_key(uid)) ||
-                                     source->records.contains(scheduler::work_key(uid, 0)));
+            return source->complete && (source->records.contains(scheduler::outcome_key(uid)) ||
+                                        source->records.contains(scheduler::work_key(uid, 0)));
         });
     }
 
-    // Adds what only the store holds.
+    // Adds records that only the store holds.
     void add_stored(const ReplicaContents& store) {
         for (const auto& [key, record] : store.records) {
             if (!readable(key, record.text)) {
-                if (!out_.records.contains(key)) report("unreadable " + key);
+                if (!out_.records.contains(key)) report("unreadable value of " + key);
                 continue;
             }
             if (out_.records.contains(key)) continue;
             if (!is_outcome_key(key)) {
                 const auto work = scheduler::parse_work_key(key);
-                // A store that was set back may show what had long been removed.
-                if (!work || known_to_whole(work->uid)) continue;
+                // A store that was reset to an earlier state may show records that had been removed.
+                if (!work || known_to_complete_source(work->uid)) continue;
             }
             out_.records.emplace(key, record.text);
         }
     }
 
-    // Drops work of jobs that are done, and work whose first record no source holds: that submission is lost.
+    // Drops work of done jobs, and work of jobs whose first record no source holds: their submission is lost.
     void drop_finished_and_orphaned_work() {
         std::set<std::string> lost;
         std::erase_if(out_.records, [&](const auto& entry) {
@@ -158,11 +159,11 @@
             lost.insert(work->uid);
             return true;
         });
-        for (const auto& uid : lost) report("submission lost " + uid);
+        for (const auto& uid : lost) report("submission lost: " + uid);
         out_.unrecoverable.assign(unrecoverable_.begin(), unrecoverable_.end());
     }
 
-    std::uint64_t newest_whole_ = 0;
+    std::uint64_t newest_complete_ = 0;
     std::vector<const ReplicaContents*> used_;
     std::map<std::string, Newest> newest_;
     std::set<std::string> unrecoverable_;
--- a/src/recovery/records_rebuilder.cpp
+++ b/src/recovery/records_rebuilder.cpp
@@ -18,8 +18,8 @@
 
 void log_sources(const GatheredOffers& gathered) {
     for (const auto& source : gathered.sources)
-        spdlog::debug("event=replica_contents from={} generation={} revision={} whole={} records={}", source.from,
-                      source.generation, source.revision, source.whole, source.records.size());
+        spdlog::debug("event=replica_contents source={} generation={} revision={} complete={} records={}", source.from,
+                      source.generation, source.revision, source.complete, source.records.size());
     for (const auto& member : gathered.missing) spdlog::error("event=replica_offer_missing member={}", member);
 }
 
@@ -49,12 +49,12 @@
     if (!published || !still_leads(term)) co_return;
     const auto gathered = co_await offers_.gather(marker);
     if (!gathered || !still_leads(term)) co_return;
-    context_.replica_verified = true;  // whatever is missing, there is nobody else to ask
+    context_.replica_verified = true;  // all available replicas were gathered; there is no other source
     auto stored = co_await restorer_.read_stored();
     if (!stored || !still_leads(term)) co_return;
     log_sources(*gathered);
     const auto merged = merge(gathered->sources, stored->contents);
-    for (const auto& what : merged.unrecoverable) spdlog::error("event=record_unrecoverable what=\"{}\"", what);
+    for (const auto& reason : merged.unrecoverable) spdlog::error("event=record_unrecoverable why=\"{}\"", reason);
     pass_on_outcomes(merged, gathered->missing.empty());
     marker.phase = GenerationMarker::Phase::restoring;
     marker.mod_revision = co_await markers_.replace(marker);
@@ -65,14 +65,14 @@
     if (finished) offers_.schedule_removal();
 }
 
-// Says who rebuilds, and up to where this controller's own replica reaches.
+// Writes into the marker that this controller rebuilds, and the history and revision of its own replica.
 awaitable<bool> RecordsRebuilder::claim(GenerationMarker& marker) {
     const auto& replica = context_.replica;
     const auto term = context_.leadership.term->number;
     marker.phase = GenerationMarker::Phase::merging;
     marker.rebuilder = context_.settings.member;
     marker.term = term;
-    marker.base_history = replica.whole() ? replica.id() : std::string();
+    marker.base_history = replica.is_complete() ? replica.id() : std::string();
     marker.base_revision = replica.revision();
     auto& rebuilders = marker.rebuilders;
     if (std::find(rebuilders.begin(), rebuilders.end(), term) == rebuilders.end()) rebuilders.push_back(term);
@@ -82,13 +82,13 @@
         co_return false;
     }
     marker.mod_revision = mod_revision;
-    spdlog::info("event=recovery_started generation={} term={} replica_records={} revision={}", marker.generation, term,
-                 replica.size(), replica.revision());
+    spdlog::info("event=recovery_started generation={} term={} replica_records={} replica_revision={}",
+                 marker.generation, term, replica.size(), replica.revision());
     co_return true;
 }
 
-// Nobody can cancel anything before the records are whole again: if all replicas were gathered, all cancellations are
-// known.
+// No job can be cancelled before the records are complete again. If all replicas were gathered, all cancellations are
+// therefore known.
 void RecordsRebuilder::pass_on_outcomes(const Merged& merged, bool all_replicas_gathered) const {
     std::vector<state::KeyValue> outcomes;
     for (const auto& [key, text] : merged.records) {
@@ -99,8 +99,8 @@
         item.mod_revision = deferred_mod_revision;
         outcomes.push_back(std::move(item));
     }
-    context_.callbacks.outcomes(outcomes, Clock::now(),
-                                all_replicas_gathered ? OutcomeCoverage::all : OutcomeCoverage::changes);
+    context_.callbacks.outcomes_read(outcomes, Clock::now(),
+                                     all_replicas_gathered ? OutcomeCoverage::all : OutcomeCoverage::changes);
 }
 
 awaitable<std::optional<std::size_t>> RecordsRebuilder::restore_all(GenerationMarker marker, const Merged& merged,
@@ -112,7 +112,7 @@
         if (!missing || !still_leads(term)) co_return std::nullopt;
         restored += *missing;
         if (*missing == 0) co_return std::optional(restored);
-        // More may have been lost while it was being written.
+        // More records may have been lost during the writing.
         auto present = co_await restorer_.read_stored();
         if (!present || !still_leads(term)) co_return std::nullopt;
         stored = std::move(*present);
@@ -125,7 +125,8 @@
         if (merged.records.contains(scheduler::outcome_key(uid))) continue;
         if (merged.records.contains(scheduler::work_key(uid, 0))) continue;
         ++count;
-        spdlog::error("event=job_unrecoverable job={} why=\"a worker shows it, and nobody remembers it\"", uid);
+        spdlog::error("event=job_unrecoverable job={} why=\"a worker runs its tasks, but no source holds its records\"",
+                      uid);
     }
     return count;
 }
@@ -133,20 +134,21 @@
 awaitable<bool> RecordsRebuilder::finish(GenerationMarker marker, const GatheredOffers& gathered, const Merged& merged,
                                          std::size_t restored) {
     const auto unrecoverable = report_unrecoverable_jobs(merged) + merged.unrecoverable.size();
-    marker.phase = GenerationMarker::Phase::whole;
+    marker.phase = GenerationMarker::Phase::complete;
     marker.missing = gathered.missing;
     std::vector<state::Change> changes;
     changes.push_back({digest_key, std::nullopt, 0});
-    // Where the history went on and nothing was missing, nothing was lost: what is on record is all there is.
+    // If only single records were suspected lost and none had to be restored, no record was lost.
     const bool nothing_lost = marker.keys_only && restored == 0;
     marker.loss_exceeds_replica = !nothing_lost && (marker.loss_exceeds_replica || !gathered.placements_known);
     if (marker.loss_exceeds_replica)
         changes.push_back({reconciliation_pending_key, boost::json::object{{"generation", marker.generation}}, 0});
     const auto mod_revision = co_await markers_.replace_with(marker, std::move(changes));
     if (!mod_revision) co_return false;
-    spdlog::info("event=recovery_finished generation={} records={} restored={} sources={} lost={} placements_known={}",
-                 marker.generation, merged.records.size(), restored, gathered.sources.size(), unrecoverable,
-                 !marker.loss_exceeds_replica);
+    spdlog::info(
+        "event=recovery_finished generation={} records={} restored={} sources={} unrecoverable={} placements_known={}",
+        marker.generation, merged.records.size(), restored, gathered.sources.size(), unrecoverable,
+        !marker.loss_exceeds_replica);
     co_return true;
 }
 
--- a/src/recovery/recovery_context.cpp
+++ b/src/recovery/recovery_context.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t max_seen_terms = 8;
-constexpr std::size_t max_missing_keys = 1000;  // others are reported again by a later answer
+constexpr std::size_t max_missing_keys = 1000;  // further keys are reported again by later answers
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 void RecoveryContext::suspect_revision_rollback(std::uint64_t revision) {
-    suspect_loss("its revisions went back to " + std::to_string(revision));
+    suspect_loss("store revision decreased to " + std::to_string(revision));
 }
 
 void RecoveryContext::record_missing(const std::string& key) {
@@ -60,7 +60,7 @@
 
 std::vector<History> RecoveryContext::known_histories() const {
     std::vector<History> histories;
-    if (whole_marker) histories.push_back({whole_marker->generation, whole_marker->id});
+    if (complete_marker) histories.push_back({complete_marker->generation, complete_marker->id});
     if (replica.generation()) histories.push_back({replica.generation(), replica.id()});
     for (const auto& [member, status] : peers)
         if (status.generation) histories.push_back({status.generation, status.id});
--- a/tests/record_replica_test.cpp
+++ b/tests/record_replica_test.cpp
@@ -1,4 +1,4 @@
-// The replica that a controller keeps of the records of jobs.
+// A controller's replica of the job records.
 #include "recovery/record_replica.hpp"
 
 #include <gtest/gtest.h>
@@ -30,13 +30,13 @@
     EXPECT_TRUE(replica.is_over("run-2"));
     EXPECT_EQ(replica.open_jobs(), (std::vector<std::string>{"run-1", "run-3"}));
     const auto all = replica.source("me");
-    EXPECT_TRUE(all.whole);
+    EXPECT_TRUE(all.complete);
     EXPECT_EQ(all.revision, 14u);
     EXPECT_EQ(all.records.at("jobs/work/run-1"),
               (Record{12, boost::json::serialize(boost::json::parse(work_record(2)))}));
     EXPECT_FALSE(all.records.contains("jobs/work/run-2"));
-    EXPECT_EQ(replica.source("me", 11).records.size(), 1u) << "what is newer than that";
-    EXPECT_FALSE(replica.source("me", 11).whole);
+    EXPECT_EQ(replica.source("me", 11).records.size(), 1u) << "only the record newer than the given revision";
+    EXPECT_FALSE(replica.source("me", 11).complete);
 }
 
 TEST(RecordReplicaTest, ImpossibleRemovalIsReportedAndNotApplied) {
@@ -78,7 +78,7 @@
     EXPECT_LT(record->text.size(), 100u);
     EXPECT_EQ(boost::json::parse(record->text),
               boost::json::parse(R"({"state":"done","at":1234567,"shape":"array","shards":2})"));
-    // The oldest format says nothing but state and submission.
+    // An outcome in the oldest format has no kind and number of tasks of its own, so it is kept unchanged.
     replica.add_page({item("jobs/over/run-2", R"({"state":"aborted","spec":{"shape":"array","shards":3}})", 5)});
     EXPECT_TRUE(replica.record("jobs/over/run-2")->text.find("spec") != std::string::npos);
     EXPECT_TRUE(replica.knows_job("run-2"));
@@ -91,27 +91,28 @@
                       item("jobs/work/run-3", work_record(1), 6)});
     replica.apply_own_write({"jobs/over/run-9", boost::json::parse(done_outcome), 0}, recovery::deferred_mod_revision);
     replica.pages_complete();
-    const auto mark = replica.mark();
+    const auto position = replica.position();
     EXPECT_TRUE(replica
-                    .missing_from(mark, "", "",
+                    .find_missing(position, "", "",
                                   {item("jobs/over/run-1", done_outcome, 4), item("jobs/work/run-2", work_record(1), 5),
                                    item("jobs/work/run-3", work_record(2), 8)})
                     .empty());
-    EXPECT_EQ(replica.missing_from(mark, "", "jobs/work/run-2", {item("jobs/work/run-2", work_record(0), 3)}).size(),
-              2u)
-        << "one is gone, the other is older than it was; the third is on another page";
-    EXPECT_EQ(replica.missing_from(mark, "jobs/work/run-2", "", {item("jobs/work/run-3", "7", 6)}).size(), 1u)
-        << "unreadable";
+    EXPECT_EQ(
+        replica.find_missing(position, "", "jobs/work/run-2", {item("jobs/work/run-2", work_record(0), 3)}).size(), 2u)
+        << "one is absent and one is older; the third is not in the range of the page";
+    EXPECT_EQ(replica.find_missing(position, "jobs/work/run-2", "", {item("jobs/work/run-3", "7", 6)}).size(), 1u)
+        << "the value is unreadable";
 }
 
-// A page that was asked for before a job was accepted cannot show it, however late it comes. The first version took it
-// for lost, and brought the service down for a minute (docs/incidents/loss-without-a-loss.md).
+// A page that was requested before a job was accepted does not show the job, however late the answer arrives. The first
+// version took such jobs for lost and made the service unavailable for a minute
+// (docs/incidents/loss-without-a-loss.md).
 TEST(RecordReplicaTest, RecordsLearnedAfterTheRequestAreNotMissingFromThePage) {
     RecordReplica replica;
     replica.begin(1, "a", 10);
     replica.add_page({item("jobs/work/run-1", work_record(0), 4), item("jobs/work/run-2", work_record(0), 5)});
     replica.pages_complete();
-    const auto asked = replica.mark();
+    const auto requested_at = replica.position();
     const std::vector<state::KeyValue> page{item("jobs/work/run-1", work_record(0), 4),
                                             item("jobs/work/run-2", work_record(0), 5)};
     replica.apply_own_write({"jobs/work/run-3", boost::json::parse(work_record(0)), 0}, 11);  // accepted
@@ -119,11 +120,12 @@
         13,
         {item("jobs/work/run-1", work_record(1), 12), item("jobs/work/run-4", work_record(0), 13)},  // placed, accepted
         {false, false}));
-    EXPECT_TRUE(replica.missing_from(asked, "", "", page).empty());
-    EXPECT_EQ(replica.missing_from(replica.mark(), "", "", page).size(), 3u) << "if it had been asked for now";
+    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty());
+    EXPECT_EQ(replica.find_missing(replica.position(), "", "", page).size(), 3u)
+        << "all three count as missing from a page that is requested now";
     replica.begin(2, "b", 20);
     replica.pages_complete();
-    EXPECT_TRUE(replica.missing_from(asked, "", "", page).empty()) << "of another history";
+    EXPECT_TRUE(replica.find_missing(requested_at, "", "", page).empty()) << "the position belongs to another history";
 }
 
 TEST(RecordReplicaTest, DigestDistinguishesOutcomesAndIgnoresLaterOnes) {
@@ -133,7 +135,7 @@
                 item("jobs/over/run-3", done_outcome, 9)});
     b.add_page({item("jobs/over/run-1", done_outcome, 4), item("jobs/over/run-4", done_outcome, 5)});
     EXPECT_EQ(a.digest(5).outcomes, 2u);
-    EXPECT_NE(a.digest(5), b.digest(5)) << "as many, and others";
+    EXPECT_NE(a.digest(5), b.digest(5)) << "the same number of outcomes, but of other jobs";
     const auto before = a.digest(8);
     a.add_page({item("jobs/over/run-5", done_outcome, 12)});
     EXPECT_EQ(a.digest(8), before);
--- a/tests/snapshot_file_test.cpp
+++ b/tests/snapshot_file_test.cpp
@@ -49,7 +49,7 @@
         ASSERT_TRUE(snapshot_file.newest());
         EXPECT_EQ(snapshot_file.newest()->records, one.records) << n;
     }
-    // A crash before the rename leaves a part, which is nobody's.
+    // A crash before the rename leaves a temporary file, which is ignored.
     std::ofstream(files[1], std::ios::binary | std::ios::trunc) << bytes;
     std::ofstream(dir.path / "00000000000000000009-00000000000000000001.records.part") << bytes;
     EXPECT_EQ(snapshot_file.newest()->records, two.records);
@@ -62,9 +62,9 @@
     EXPECT_EQ(std::distance(fs::directory_iterator(dir.path), fs::directory_iterator()), 2);
     EXPECT_EQ(snapshot_file.newest()->revision, 5u);
     std::ofstream(dir.path / "file") << "not a directory";
-    recovery::SnapshotFile nowhere(dir.path / "file");
-    EXPECT_FALSE(nowhere.put(replica_contents(1, 1, true, {})));
-    EXPECT_FALSE(nowhere.newest());
+    recovery::SnapshotFile unwritable(dir.path / "file");
+    EXPECT_FALSE(unwritable.put(replica_contents(1, 1, true, {})));
+    EXPECT_FALSE(unwritable.newest());
 }
 
 }  // namespace flintdale::test
