--- a/apps/controller_main.cpp
+++ b/apps/controller_main.cpp
@@ -1,4 +1,4 @@
-// The controller: reads its settings, and runs until it is killed.
+// The controller program: reads the settings and runs one controller until it is killed.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char* version = "flintdale 0.1.0";
-constexpr int failed = 1, bad_settings = 2;
+constexpr int failed = 1, bad_settings = 2;  // exit codes
 
 spdlog::level::level_enum log_level(const std::string& name) {
     if (name == "error") return spdlog::level::err;
@@ -19,7 +19,7 @@
     return spdlog::level::info;
 }
 
-// Logs to standard error, from the level that LOG_LEVEL names on.
+// Logs to standard error at the level in LOG_LEVEL and above.
 void set_up_log(const std::string& member) {
     auto log = spdlog::stderr_logger_st("flintdale");
     log->set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l member=" + member + " %v");
--- a/src/app/cancellation_register.cpp
+++ b/src/app/cancellation_register.cpp
@@ -8,8 +8,8 @@
 using model::Seconds;
 
 namespace {
-// Of the cancel deadline: for how long a job is taken to have been cancelled if its record does not say.
-constexpr double assumed_share = 0.5;
+// Share of the cancel deadline that is assumed to have passed since a cancellation whose time is not on record.
+constexpr double assumed_elapsed_share = 0.5;
 }  // namespace
 
 CancellationRegister::CancellationRegister(const config::Settings& settings, peer::Cancellations& cancellations,
@@ -27,7 +27,7 @@
     const auto now = Clock::now();
     if (!cancellations_.note(uid, now)) return false;
     follower_leases_.cancelled(uid, now);
-    const auto cancelled_ago = std::min(over_for(uid).value_or(Seconds(0)), settings_.cancel_deadline);
+    const auto cancelled_ago = std::min(time_since_end(uid).value_or(Seconds(0)), settings_.cancel_deadline);
     fencer_.cancelled(uid, now - model::to_clock(cancelled_ago));
     return true;
 }
@@ -36,20 +36,21 @@
     return cancellations_.all_known_until(read_at, Clock::now());
 }
 
-Seconds CancellationRegister::cancelled_for(const std::string& uid) const {
+Seconds CancellationRegister::time_since_cancellation(const std::string& uid) const {
     if (!is_cancelled_on_record(uid)) return Seconds(0);
-    // Earlier versions did not record when: it may be long ago.
-    return over_for(uid).value_or(settings_.cancel_deadline * assumed_share);
+    // Earlier versions did not record the time of a cancellation; it may be long ago.
+    return time_since_end(uid).value_or(settings_.cancel_deadline * assumed_elapsed_share);
 }
 
-// A leader that came late may have no time left to wait until a heartbeat is overdue, so the fencer asks the machines.
-void CancellationRegister::found_over(const std::string& uid) {
+// A new leader may have too little time left to wait until a heartbeat is overdue, so the fencer probes the machines.
+void CancellationRegister::outcome_found(const std::string& uid) {
     if (!is_cancelled_on_record(uid)) return;
-    const auto ago = over_for(uid);
-    if (ago && *ago < settings_.cancel_deadline) fencer_.cancelled(uid, Clock::now() - model::to_clock(*ago));
+    const auto elapsed = time_since_end(uid);
+    if (elapsed && *elapsed < settings_.cancel_deadline)
+        fencer_.cancelled(uid, Clock::now() - model::to_clock(*elapsed));
 }
 
-std::optional<Seconds> CancellationRegister::over_for(const std::string& uid) const {
+std::optional<Seconds> CancellationRegister::time_since_end(const std::string& uid) const {
     const auto since = recovery_.replica().over_since_ms(uid);
     if (!since) return std::nullopt;
     const std::chrono::milliseconds elapsed(time_of_day_ms_() - *since);
--- a/src/app/cancellation_register.hpp
+++ b/src/app/cancellation_register.hpp
@@ -1,5 +1,6 @@
-// Brings together what this controller learns of cancellations, from users, records and peers: it notes each once, and
-// tells the leases of workers without a leader and the fencer. For a leader's term it answers what is known of them.
+// Collects the cancellations that this controller learns from users, records and peers. It notes each once and passes
+// it to the fencer and to the leases that are renewed without a leader. A leader's term reads the cancellations from
+// here.
 #pragma once
 #include <functional>
 #include <optional>
@@ -19,17 +20,18 @@
                          scheduler::FollowerLeases& follower_leases, Fencer& fencer,
                          const recovery::RecoveryCoordinator& recovery, std::function<std::int64_t()> time_of_day_ms);
 
-    // A user is about to be told that the job is cancelled, a record says so, or a peer. False if that was known.
+    // The job is cancelled, by a record or a peer, or the cancellation is about to be acknowledged to a user. Returns
+    // false if that was known already.
     bool note(const std::string& uid);
 
     model::TimePoint all_known_until(model::TimePoint read_at) const override;
     bool is_cancelled(const std::string& uid) const override { return cancellations_.knows(uid); }
-    model::Seconds cancelled_for(const std::string& uid) const override;
-    void found_over(const std::string& uid) override;
+    model::Seconds time_since_cancellation(const std::string& uid) const override;
+    void outcome_found(const std::string& uid) override;
 
   private:
-    // For how long a job has been over, by the time of day on record; nothing if that is not known.
-    std::optional<model::Seconds> over_for(const std::string& uid) const;
+    // How long ago a job ended, by the time of day on record; nullopt if that is not known.
+    std::optional<model::Seconds> time_since_end(const std::string& uid) const;
     bool is_cancelled_on_record(const std::string& uid) const;
 
     const config::Settings& settings_;
--- a/src/app/cluster_view.hpp
+++ b/src/app/cluster_view.hpp
@@ -1,6 +1,6 @@
-// What this controller knows of the cluster at this moment: who leads, whether the state service and the other
-// controllers are reachable, and what follows from that. It decides nothing and owns nothing; each answer holds only
-// until the next co_await of whoever asks.
+// A read-only view of the cluster as this controller knows it: which member leads, whether the state service and the
+// other controllers are reachable, and what follows from that. Each result is valid only until the caller's next
+// co_await.
 #pragma once
 #include <memory>
 #include <optional>
@@ -21,14 +21,14 @@
 // This controller's own leadership.
 struct OwnLeadership {
     election::Term last_won;
-    std::shared_ptr<LeaderTerm> current;  // null: no term has begun, though one may have been won
+    std::shared_ptr<LeaderTerm> current;  // null: no term has begun; one may have been won
 };
 
 class ClusterView {
   public:
     using TimePoint = model::TimePoint;
 
-    // What the view reads; all of it outlives the view.
+    // The objects that the view reads; all must outlive it.
     struct Sources {
         const config::Settings& settings;
         const state::Service& store;
@@ -41,29 +41,29 @@
     };
     explicit ClusterView(Sources sources) : sources_(sources) {}
 
-    // Whether this controller leads by its claim; its term may not have begun yet.
+    // Whether this controller holds the claim to leadership; its term may not have begun yet.
     bool leading() const { return sources_.elector.leading(); }
-    // Whether the records are being rebuilt. No term begins meanwhile.
+    // Whether the records are being rebuilt; no term begins meanwhile.
     bool recovering() const { return sources_.recovery.recovering(); }
     // The term that has begun here; null if there is none.
     std::shared_ptr<LeaderTerm> leader_term() const { return sources_.leadership.current; }
     std::uint64_t last_won_term() const { return sources_.leadership.last_won.number; }
     // The highest term that was seen anywhere.
     std::uint64_t newest_term() const { return sources_.elector.term(); }
-    // Who is believed to lead; empty if nobody is.
+    // The member believed to lead; empty if none is.
     std::string leader() const { return sources_.elector.leader(); }
-    // The same, and empty also if it is this controller.
+    // Like leader(), but also empty if it is this controller.
     std::string other_leader() const;
 
     bool store_is_healthy() const;
-    // Whether no leader is heard, and none could be elected from here.
+    // Whether no peer with a recent status leads, and this controller cannot be elected for want of the state service.
     bool leaderless() const;
-    // Whether this controller does not reach the state service, and neither it nor any peer that it hears has read the
-    // records since it was started.
+    // Whether this controller cannot reach the state service and has not read the records since it started, and no peer
+    // with a recent status can reach the service or has read them.
     bool cut_off_from_store() const;
-    // Whether a controller leads, or may be elected, that knows of all cancellations noted here until then.
+    // Whether a controller that knows all cancellations noted here until `noted` leads, or may be elected.
     bool cancellations_are_handled(TimePoint noted) const;
-    // Why this controller should get no requests from users; nothing if it should.
+    // The reason why this controller should receive no requests from users; nullopt if it should receive them.
     std::optional<std::string_view> unready_reason(bool machine_types_known) const;
 
   private:
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -16,14 +16,15 @@
 constexpr auto status_interval = 1000ms;
 constexpr auto status_interval_before_ready = 100ms;
 
-// The time of day alone may come twice: clocks drift by some milliseconds, and a process may be back at once.
+// The time of day in milliseconds alone may repeat: clocks drift by some milliseconds, and a process may restart at
+// once. So three digits of the steady clock's microseconds are appended.
 std::uint64_t new_incarnation(std::int64_t time_of_day_ms) {
     const auto now = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
     return static_cast<std::uint64_t>(time_of_day_ms * 1000 + now % 1000);
 }
 
-// The key of the outcome that may explain why a record of open work is gone; empty for other keys.
-std::string explaining_outcome(const std::string& key) {
+// The key of the outcome whose presence explains that a record of open work is absent; empty for other keys.
+std::string outcome_explaining_absence(const std::string& key) {
     const auto work = scheduler::parse_work_key(key);
     return work ? scheduler::outcome_key(work->uid) : std::string();
 }
@@ -69,12 +70,12 @@
     net::asio::co_spawn(ex_, status_loop(), net::asio::detached);
 }
 
-// --- wiring: what each part asks of the others ---
+// --- wiring between the components ---
 
 state::GuardedStore::Events Controller::store_events() {
     return {[this](const char* why) { recovery_.suspect_loss(why); },
             [this](const state::Change& change, std::uint64_t revision) { recovery_.record_written(change, revision); },
-            [this](const std::string& key) { return recovery_.replica().expected(key); }, explaining_outcome,
+            [this](const std::string& key) { return recovery_.replica().expected(key); }, outcome_explaining_absence,
             [this](const std::string& key) { recovery_.record_missing(key); }};
 }
 
@@ -103,7 +104,7 @@
     callbacks.cancellations_known_until = [this] {
         return cancellation_register_.all_known_until(follower_leases_.looked_at());
     };
-    callbacks.send = ports_.relay;
+    callbacks.send = ports_.send_relay_message;
     return callbacks;
 }
 
@@ -144,7 +145,7 @@
 void Controller::term_won(election::Term term) {
     ports_.state.set_leading(true);
     leadership_.last_won = term;
-    if (term.gap) recovery_.suspect_loss("a term that was seen is not on record");
+    if (term.record_lost) recovery_.suspect_loss("a term that was seen is not on record");
     recovery_.term_won(term);
 }
 
@@ -165,15 +166,15 @@
     leadership_.current.reset();
 }
 
-// --- events that concern several parts ---
+// --- events that concern several components ---
 
 void Controller::outcomes_read(const std::vector<state::KeyValue>& outcomes, model::TimePoint began,
                                recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage coverage) {
     using OutcomeCoverage = recovery::RecoveryCoordinator::Callbacks::OutcomeCoverage;
     if (coverage == OutcomeCoverage::after_gap) follower_leases_.lost_track(Clock::now());
     follower_leases_.watched(outcomes, began);
-    // After the records were rebuilt these are all outcomes there are: a user who is told of one of them again notes it
-    // then.
+    // With coverage `all`, after the records were rebuilt, the list holds every outcome that is left. Its cancellations
+    // are not noted here: each is noted when it is next reported to a user.
     for (const auto& item : outcomes)
         if (coverage != OutcomeCoverage::all && scheduler::is_cancelled(item))
             cancellation_learned(item.key.substr(item.key.rfind('/') + 1));
@@ -181,7 +182,7 @@
 }
 
 void Controller::records_rebuilt() {
-    // Jobs that were believed to be open are looked up again; keys that are not rebuilt are written again.
+    // Jobs cached as open are looked up again, and keys that the rebuild does not cover are written again.
     submissions_.forget_open();
     catalog_.record_again();
     net::asio::co_spawn(ex_, members_.restore_enrollment(), net::asio::detached);
@@ -206,7 +207,8 @@
     const auto token = heartbeat.fencing_token;
     if (token > elector_.term()) elector_.observe_term(token, std::string());
     fencer_.heartbeat_received(heartbeat.machine);
-    // Between this leader's term and the one on record before it there was none, unless the records of one were lost.
+    // No term is known between this leader's own and the newest one before it. A fencing token in between shows that
+    // the records of a term were lost.
     const auto& term = leadership_.last_won;
     const auto newest_known = std::max(term.previous, recovery_.recovered_in_term());
     if (elector_.leading() && recovery_.ready() && token > newest_known && token < term.number)
@@ -214,12 +216,12 @@
                                recovery::RecoveryCoordinator::Loss::beyond_replica);
 }
 
-// --- the other controllers ---
+// --- messages to and from the other controllers ---
 
 void Controller::received(const peer::StatusMessage& status) {
     using From = peer::Incarnations::From;
     const auto from = incarnations_.classify(status.member, status.incarnation, status.connection);
-    if (from == From::previous) return;  // delayed on its way: the process that sent it has ended
+    if (from == From::previous) return;  // delayed message of an earlier process
     if (from == From::next) peers_.forget(status.member);
     for (const auto& uid : status.cancellations.recent) cancellation_learned(uid);
     cancellations_.report_received(status.member, status.incarnation, incarnation_, status.cancellations, Clock::now());
@@ -237,7 +239,8 @@
         const auto status = current_status();
         ports_.broadcast_status(status);
         resign_if_cut_off_from_workers();
-        // Until it is known whether any controller knows of a marker, no request can be served.
+        // No request can be served until it is known whether any controller has seen a generation marker, so statuses
+        // are sent more often until then.
         co_await net::sleep_for(recovery_.ready() ? status_interval : status_interval_before_ready);
     }
 }
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,5 +1,5 @@
-// Builds one controller from the packages and wires them together. What it is connected to comes from outside: the
-// network (Node), or a simulation. It decides nothing itself.
+// Builds one controller from its components and wires them together. Its connections are passed in, by the network
+// program (Node) or by a simulation. It makes no decisions of its own.
 #pragma once
 #include <functional>
 #include <memory>
@@ -26,16 +26,16 @@
 
 namespace flintdale::app {
 
-// What a controller is connected to.
+// The connections of a controller to the outside.
 struct Ports {
     state::Service& state;
     cloud::Cloud& cloud;
     worker::Workers& workers;
-    // To every other controller that can be reached now.
+    // Sends the status to every other controller that can be reached now.
     std::function<void(const peer::StatusMessage&)> broadcast_status;
     std::function<std::int64_t()> time_of_day_ms;
-    // False if it cannot be sent to that controller now.
-    std::function<bool(const std::string& member, const peer::RelayMessage&)> relay;
+    // Returns false if the message cannot be sent to that controller now.
+    std::function<bool(const std::string& member, const peer::RelayMessage&)> send_relay_message;
 };
 
 class Controller {
@@ -45,9 +45,9 @@
     // Starts all loops. Call it once.
     void start();
 
-    // A request over HTTP, from a user, a worker or the load balancer.
+    // Answers an HTTP request from a user, a worker or the load balancer.
     awaitable<net::Reply> handle(net::Request request) { return routes_.handle(std::move(request)); }
-    // Messages of another controller, and the loss of the connection to one.
+    // Handle messages from another controller, and the loss of the connection to it.
     void received(const peer::StatusMessage& status);
     void relayed(const peer::RelayMessage& message) { heartbeats_.relay_message_received(message); }
     void link_lost(const std::string& member) { heartbeats_.link_lost(member); }
@@ -87,11 +87,11 @@
     const config::OperatorSettings& operator_settings_;
     state::RecordFormat& record_format_;
     Ports ports_;
-    std::uint64_t incarnation_;        // differs from that of an earlier process, even of one that has just ended
-    peer::Incarnations incarnations_;  // of the others
+    std::uint64_t incarnation_;        // differs from that of every earlier process, even one that has just ended
+    peer::Incarnations incarnations_;  // of the other controllers
     PeerTable peers_;
     OwnLeadership leadership_;
-    std::optional<quota::Table> quota_table_;  // where it differs from the settings
+    std::optional<quota::Table> quota_table_;  // as last reported by members_; empty while the settings' own applies
     state::GuardedStore store_;
     election::Elector elector_;
     election::Members members_;
--- a/src/app/fencer.cpp
+++ b/src/app/fencer.cpp
@@ -20,17 +20,17 @@
 
 constexpr auto scan_interval = 1s;
 constexpr auto probe_poll_interval = 20ms;
-// Before machines are fenced: time for a list of them and two probes of each.
+// Probing starts this long before machines are fenced: enough for a list of the machines and two probes of each.
 constexpr Seconds probing_time{7};
-// The same for a controller that knows nothing, and the seconds for which it may have been away.
+// The same for a controller that knows no records, plus the time for which it may have been down.
 constexpr Seconds probing_time_when_cut_off{12};
-constexpr std::size_t max_probes_under_way = 200;  // sockets are scarce
+constexpr std::size_t max_probes_under_way = 200;  // each takes a socket, and sockets are limited
 constexpr std::size_t max_released_per_call = 100;
-// Stands for the jobs of a machine of which no controller knows.
+// Placeholder job id for a machine whose jobs no controller knows.
 constexpr const char* any_job = "anything";
 
-Clock::duration fencing_delay(const config::Settings& settings, Seconds earlier = Seconds(0)) {
-    return model::to_clock(scheduler::give_up_silent_after(settings) - earlier);
+Clock::duration fencing_delay(const config::Settings& settings, Seconds lead_time = Seconds(0)) {
+    return model::to_clock(scheduler::give_up_silent_after(settings) - lead_time);
 }
 
 }  // namespace
@@ -83,8 +83,9 @@
     return candidates;
 }
 
-// Whatever was cancelled was so before this process began. Leaders release such machines after half of the cancel
-// deadline, so what is left has that long at most; and leases that no controller renews run out meanwhile.
+// Unknown cancellations were all acknowledged before this process started. Leaders release unresponsive machines after
+// half of the cancel deadline, so the cancelled work that remains has at most the other half left. Leases that no
+// controller renews expire meanwhile.
 bool Fencer::cut_off_from_store_for_long() const {
     return callbacks_.cut_off_from_store() &&
            Clock::now() - started_at_ > fencing_delay(settings_, probing_time_when_cut_off);
@@ -122,30 +123,31 @@
     if (cut_off) candidates = machines_without_heartbeat(*listed);
     const auto unresponsive_before = std::exchange(unresponsive_, {});
     co_await probe_all(candidates.jobs, std::move(addresses));
-    auto due = still_due(std::move(candidates), cut_off, unresponsive_before);
+    auto due = machines_still_due(std::move(candidates), cut_off, unresponsive_before);
     co_await release_unresponsive(std::move(due));
 }
 
-Fencer::JobsByMachine Fencer::still_due(Candidates candidates, bool cut_off,
-                                        const std::set<std::string>& unresponsive_before) {
+Fencer::JobsByMachine Fencer::machines_still_due(Candidates candidates, bool cut_off,
+                                                 const std::set<std::string>& unresponsive_before) {
     if (cut_off) {
         if (!cut_off_from_store_for_long()) return {};
-        // A machine that has not been silent for long is probed once more.
+        // A machine is fenced only if it did not respond in the scan before either.
         std::erase_if(candidates.jobs, [&](const auto& entry) { return !unresponsive_before.contains(entry.first); });
         return std::move(candidates.jobs);
     }
     candidates = machines_with_cancelled_jobs();
-    const bool early = Clock::now() < candidates.first_cancelled + fencing_delay(settings_);
-    return early ? JobsByMachine{} : std::move(candidates.jobs);
+    const bool too_early = Clock::now() < candidates.first_cancelled + fencing_delay(settings_);
+    return too_early ? JobsByMachine{} : std::move(candidates.jobs);
 }
 
-// Waits by polling: the probes are many, and each ends within seconds.
+// Polls for the end of the probes, because there may be many and each ends within seconds.
 awaitable<void> Fencer::probe_all(JobsByMachine candidates, std::optional<Addresses> addresses) {
     for (const auto& [machine, jobs] : candidates) {
         while (probes_under_way_ >= max_probes_under_way) co_await net::sleep_for(probe_poll_interval);
         if (!addresses) continue;
         const auto address = addresses->find(machine);
-        // A machine that the list does not show may be younger than the list, or gone: to release it costs nothing.
+        // A machine that is not listed may be newer than the list, or gone; releasing a machine that is gone costs
+        // nothing.
         if (address == addresses->end()) {
             unresponsive_.insert(machine);
             continue;
@@ -156,7 +158,7 @@
     while (probes_under_way_ > 0) co_await net::sleep_for(probe_poll_interval);
 }
 
-// A worker that answers does not hang: the tasks that it still reports end with its lease.
+// A machine whose worker responds does not hang: the tasks that the worker still reports end with its lease.
 awaitable<void> Fencer::probe(std::string machine, std::string address, std::set<std::string> jobs) {
     const auto heartbeat = co_await workers_.status(std::move(address));
     --probes_under_way_;
--- a/src/app/fleet_loop.cpp
+++ b/src/app/fleet_loop.cpp
@@ -54,11 +54,11 @@
     const auto leadership = co_await verify_leadership();
     if (leadership == Leadership::lost) co_return;
     auto releases = scheduler.scale_in(context_.now_checking_for_pause());
-    // In an outage no other controller can win a term, and cancelled work on a machine that hangs must be gone in time
-    // all the same. Should another controller win one after all, a machine may be released that it uses: work is lost
-    // then, and no rule broken.
+    // In an outage of the state service no other controller can win a term, but cancelled work on a machine that hangs
+    // must still end by its deadline. If another controller does win a term, a machine that it uses may be released:
+    // that loses work, and breaks no guarantee.
     if (leadership == Leadership::unknown) {
-        if (context_.environment.leadership.others_reach_store()) co_return;
+        if (context_.environment.leadership.any_peer_reaches_store()) co_return;
         std::erase_if(releases,
                       [](const scheduler::Release& release) { return release.why != scheduler::cancelled_work; });
     }
@@ -75,7 +75,7 @@
 
 void FleetLoop::plan_launches() {
     for (auto& instances : context_.scheduler.scale_out(context_.now_checking_for_pause())) {
-        // Named after the term, so that no two leaders ever use the same name.
+        // The name contains the term, so that no two leaders ever use the same name.
         auto name = std::to_string(context_.term_number) + "-" + std::to_string(++launches_);
         unanswered_.push_back({instances, std::move(name), 0});
     }
@@ -90,7 +90,8 @@
     bool refused = false;
     for (auto& request : due) {
         if (!leading) {
-            // What was never sent is planned anew; what was may have been granted, and must be asked for again.
+            // A request that was never sent is planned anew. One that was sent may have been granted, and must be
+            // repeated.
             if (request.attempts > 0) unanswered_.push_back(std::move(request));
             continue;
         }
@@ -107,7 +108,7 @@
 bool FleetLoop::apply_launch_result(LaunchRequest request, const cloud::RentResult& result) {
     const auto now = Clock::now();
     if (result.outcome == cloud::Rent::unclear) {
-        // Asked again under the same name: if it was granted, the answer names the same machines.
+        // The request is repeated under the same name: if it was granted, the response names the same machines.
         if (request.attempts < max_launch_attempts) unanswered_.push_back(std::move(request));
         return false;
     }
--- a/src/app/fleet_loop.hpp
+++ b/src/app/fleet_loop.hpp
@@ -1,9 +1,9 @@
-// Carries out in the cloud what the scheduler asks of the fleet: it lists the machines, launches new ones and releases
-// those that are no longer needed.
+// Carries out the scheduler's fleet decisions in the cloud: lists the machines, launches new ones and releases those
+// that are no longer needed.
 //
-// A leader that was cut off or paused may have a successor, and must not launch or release machines on what it
-// remembers: once a leader released all machines that its successor was using. So the term is checked before every call
-// that changes the fleet.
+// A leader that was cut off or paused may have a successor, and must not launch or release machines by outdated
+// knowledge: such a leader once released all machines that its successor was using. So the term is verified before
+// every call that changes the fleet.
 #pragma once
 #include <deque>
 
@@ -22,15 +22,15 @@
   private:
     struct LaunchRequest {
         fleet::InstanceRequest instances;
-        std::string name;  // the same at every attempt, so that the cloud grants it once
+        std::string name;  // the same at every attempt, so that the cloud grants the request once
         int attempts = 0;
     };
     enum class Leadership : std::uint8_t { confirmed, lost, unknown };
 
     awaitable<Leadership> verify_leadership();
     awaitable<void> release_machines();
-    // Launches what is needed, first of all what earlier requests left unanswered. True if a refusal leaves a need that
-    // another pool may meet at once.
+    // Launches the machines that are needed; requests whose result is still unknown are repeated first. Returns whether
+    // a refusal leaves a need that another pool may cover at once.
     awaitable<bool> launch_machines();
     void plan_launches();
     // Returns whether fewer machines than asked for were granted.
@@ -39,7 +39,7 @@
     TermContext& context_;
     cloud::Cloud& cloud_;
     std::uint64_t launches_ = 0;
-    std::deque<LaunchRequest> unanswered_;
+    std::deque<LaunchRequest> unanswered_;  // planned or repeated requests without a clear result
 };
 
 }  // namespace flintdale::app
--- a/src/app/handover_hints_loop.cpp
+++ b/src/app/handover_hints_loop.cpp
@@ -26,7 +26,7 @@
         txn.changes.push_back(page);
         const auto result = co_await context_.store.commit(std::move(txn), state::RequestPriority::bookkeeping);
         if (context_.stopped) co_return;
-        if (result.outcome != state::Outcome::ok) break;  // the next round tries again
+        if (result.outcome != state::Outcome::ok) break;  // retried in the next round
         hints_.written(page);
     }
 }
--- a/src/app/handover_hints_loop.hpp
+++ b/src/app/handover_hints_loop.hpp
@@ -1,5 +1,5 @@
-// Reads what the previous leader noted of the machines, beside the failover itself, and then keeps such notes on record
-// for the next leader.
+// Reads the hints about machines that the previous leader recorded, in parallel with the failover, and then records
+// such hints for the next leader.
 #pragma once
 #include "app/term_context.hpp"
 #include "scheduler/handover_hints.hpp"
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-// For a term that was just won.
+// For how long a heartbeat waits until a term that was just won begins.
 constexpr auto max_wait_for_term = 2500ms, term_poll_interval = 50ms;
 
-net::Reply must_not_answer() { return error_reply(503, "not entitled to answer now"); }
+net::Reply not_entitled_reply() { return error_reply(503, "not entitled to answer now"); }
 
-net::Reply redirect(const std::string& member) { return make_reply(421, wire::redirect_body(member)); }
+net::Reply redirect_reply(const std::string& member) { return make_reply(421, wire::redirect_body(member)); }
 
 net::Reply commands_reply(std::uint64_t fencing_token, const std::vector<model::Command>& commands) {
     return make_reply(200, wire::heartbeat_response(fencing_token, commands));
@@ -60,11 +60,11 @@
     }
     callbacks_.received(heartbeat);
     if (!cluster_.leading()) co_return co_await answer_as_follower(std::move(heartbeat));
-    if (const auto other = assignment_.at_leader(heartbeat.machine, heartbeat.zone, Clock::now()))
-        co_return redirect(*other);
+    if (const auto other = assignment_.redirect_at_leader(heartbeat.machine, heartbeat.zone, Clock::now()))
+        co_return redirect_reply(*other);
     const auto answer = co_await answer_as_leader(std::move(heartbeat));
     if (!answer.leads) co_return redirect_to_leader(cluster_.other_leader());
-    co_return answer.commands ? commands_reply(answer.fencing_token, *answer.commands) : must_not_answer();
+    co_return answer.commands ? commands_reply(answer.fencing_token, *answer.commands) : not_entitled_reply();
 }
 
 // --- as the leader ---
@@ -72,10 +72,10 @@
 awaitable<HeartbeatService::LeaderAnswer> HeartbeatService::answer_as_leader(model::Heartbeat heartbeat) {
     LeaderAnswer answer;
     if (!cluster_.leader_term()) {
-        co_await await_begin_of_term();
+        co_await await_start_of_term();
         if (!cluster_.leader_term() && cluster_.leading()) {
-            // The leases of workers are kept for as long as what is known of cancellations allows; the tasks that they
-            // report are looked for if no controller remembers them.
+            // Workers' leases are renewed for as long as the known cancellations allow. The recovery receives the tasks
+            // that they report, because jobs that no replica holds count as missing.
             callbacks_.received_in_recovery(heartbeat);
             answer.fencing_token = cluster_.last_won_term();
             answer.commands = renew_lease_without_term(heartbeat);
@@ -91,15 +91,16 @@
     std::optional<model::Heartbeat> copy;
     if (!term->loaded()) copy = heartbeat;
     answer.commands = co_await term->handle_heartbeat(std::move(heartbeat));
-    // A term that was won and could not read the records, because the state service became unreachable in between, has
-    // no other controller to redirect the worker to either.
+    // If this term has not read the records because the state service became unreachable after the election, there is
+    // no other controller to redirect the worker to.
     if (!answer.commands && copy && term == cluster_.leader_term() && !term->loaded() && !cluster_.store_is_healthy())
         answer.commands = renew_lease_without_term(*copy);
     co_return answer;
 }
 
-// A term that was just won begins in a moment. This polls, because a term begins only after many steps of the recovery.
-awaitable<void> HeartbeatService::await_begin_of_term() {
+// A term that was just won usually begins soon. This polls, because a term begins only after many steps of the
+// recovery.
+awaitable<void> HeartbeatService::await_start_of_term() {
     for (auto waited = 0ms; waited < max_wait_for_term; waited += term_poll_interval) {
         if (!cluster_.leading() || cluster_.leader_term() || cluster_.recovering()) co_return;
         co_await net::sleep_for(term_poll_interval);
@@ -113,7 +114,8 @@
 // --- as a follower ---
 
 LeaderTerm::Commands HeartbeatService::renew_lease_while_leaderless(const model::Heartbeat& heartbeat) {
-    // A worker whose heartbeats were relayed here has never reported to the leader, and need not look for it first.
+    // A worker whose heartbeats were relayed here has never reported to the leader itself, so it need not be redirected
+    // there first.
     if (assignment_.serves(heartbeat.machine)) return renew_lease_without_term(heartbeat);
     return follower_leases_.answer(heartbeat, Clock::now(), callbacks_.cancellations_known_until());
 }
@@ -126,7 +128,7 @@
 
 net::Reply HeartbeatService::redirect_to_leader(const std::string& member) {
     if (!member.empty()) ++redirects_;
-    return redirect(member);
+    return redirect_reply(member);
 }
 
 awaitable<net::Reply> HeartbeatService::answer_as_follower(model::Heartbeat heartbeat) {
@@ -136,14 +138,14 @@
     const auto leader = cluster_.other_leader();
     const bool relays = relays_to(leader);
     if (relays) {
-        const auto other = assignment_.at_follower(heartbeat.machine, heartbeat.zone, leader, Clock::now());
-        if (other) co_return *other == leader ? redirect_to_leader(leader) : redirect(*other);
+        const auto other = assignment_.redirect_at_follower(heartbeat.machine, heartbeat.zone, leader, Clock::now());
+        if (other) co_return *other == leader ? redirect_to_leader(leader) : redirect_reply(*other);
     }
-    // A worker that was served here waits for the next leader with its connection open.
+    // The heartbeat of a worker that is served here waits in the relay for the next leader, with the connection open.
     const bool waits_here = operator_settings_.relay_heartbeats && assignment_.serves(heartbeat.machine);
     if (!relays && !waits_here) co_return redirect_to_leader(leader);
     const auto answer = co_await relay_.relay(std::move(heartbeat));
-    co_return answer ? commands_reply(answer->fencing_token, answer->commands) : must_not_answer();
+    co_return answer ? commands_reply(answer->fencing_token, answer->commands) : not_entitled_reply();
 }
 
 // --- messages of other controllers ---
@@ -154,7 +156,7 @@
                                    {status.relays, status.leading, status.workers, status.capacity, status.fleet}, now);
     const auto leader = cluster_.leader();
     if (cluster_.leading() || leader == settings_.member || !relays_to(leader)) {
-        // A message of another controller says nothing of the leader that is followed.
+        // Only the followed leader's own status ends the relay to it; another follower's status says nothing about it.
         if (cluster_.leading() || status.member == leader) relay_.follow(std::nullopt);
         return;
     }
@@ -181,7 +183,7 @@
 }
 
 void HeartbeatService::relay_message_received(const peer::RelayMessage& message) {
-    if (message.receiver_incarnation != incarnation_) return;  // meant for an earlier process of this controller
+    if (message.receiver_incarnation != incarnation_) return;  // addressed to an earlier process of this controller
     relay_.answered(message, cluster_.newest_term());
     for (const auto& relayed : message.reports) {
         relayed_heartbeats_.keep(message.member, message.incarnation, relayed);
@@ -200,7 +202,7 @@
     }
 }
 
-// At once where there is nothing to wait for: most heartbeats are answered without a coroutine of their own.
+// Answers at once if there is nothing to wait for, so that most heartbeats need no coroutine of their own.
 void HeartbeatService::answer_relayed(const std::string& member, std::uint64_t incarnation, std::uint64_t number,
                                       const model::Heartbeat& heartbeat) {
     callbacks_.received(heartbeat);
@@ -211,8 +213,8 @@
         return;
     }
     auto decision = term->decide(heartbeat);
-    if (decision.runs_expected) {
-        net::asio::co_spawn(ex_, answer_relayed_with_runs(outbox, number, term, heartbeat, std::move(decision)),
+    if (decision.run_commands_expected) {
+        net::asio::co_spawn(ex_, answer_relayed_with_run_commands(outbox, number, term, heartbeat, std::move(decision)),
                             net::asio::detached);
         return;
     }
@@ -225,10 +227,12 @@
     outbox->add(relayed_response(number, answer.fencing_token, std::move(answer.commands)));
 }
 
-awaitable<void> HeartbeatService::answer_relayed_with_runs(std::shared_ptr<peer::RelayOutbox> outbox,
-                                                           std::uint64_t number, std::shared_ptr<LeaderTerm> term,
-                                                           model::Heartbeat heartbeat, LeaderTerm::Decision decision) {
-    auto commands = co_await term->await_runs(std::move(heartbeat), std::move(decision));
+awaitable<void> HeartbeatService::answer_relayed_with_run_commands(std::shared_ptr<peer::RelayOutbox> outbox,
+                                                                   std::uint64_t number,
+                                                                   std::shared_ptr<LeaderTerm> term,
+                                                                   model::Heartbeat heartbeat,
+                                                                   LeaderTerm::Decision decision) {
+    auto commands = co_await term->await_run_commands(std::move(heartbeat), std::move(decision));
     outbox->add(relayed_response(number, term->number(), std::move(commands)));
 }
 
--- a/src/app/heartbeat_service.hpp
+++ b/src/app/heartbeat_service.hpp
@@ -1,5 +1,6 @@
-// Answers workers' heartbeats. The leader answers them, directly or through the controllers that relay; the others
-// relay them to the leader or redirect the worker; and where no controller leads, leases are kept alive.
+// Answers workers' heartbeats. The leader answers them directly, or through controllers that relay them. Followers
+// relay heartbeats to the leader or redirect the worker. While no controller leads, workers' leases are renewed without
+// a leader.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,13 +23,13 @@
 class HeartbeatService {
   public:
     struct Callbacks {
-        // Each heartbeat that arrives here, directly or relayed.
+        // Called for each heartbeat that arrives here, directly or relayed.
         std::function<void(const model::Heartbeat&)> received;
-        // Each heartbeat that a leader receives while the records are rebuilt.
+        // Called for each heartbeat that reaches this controller while it leads and no term of it has begun.
         std::function<void(const model::Heartbeat&)> received_in_recovery;
-        // Until when all cancellations are known here, beyond what `follower_leases` has read.
+        // The time until which all cancellations are known here, beyond those that `follower_leases` has read.
         std::function<model::TimePoint()> cancellations_known_until;
-        // False if the message cannot be sent to that controller now.
+        // Returns false if the message cannot be sent to that controller now.
         peer::HeartbeatRelay::Send send;
     };
     // `incarnation`: of this controller.
@@ -40,28 +41,28 @@
     // POST /agent/beat
     awaitable<net::Reply> handle(std::string body);
 
-    // A peer's status, which is in the table of peers already.
+    // Handles a peer's status, which must be in the peer table already.
     void peer_status_received(const peer::StatusMessage& status);
     void relay_message_received(const peer::RelayMessage& message);
     // The connection to that controller has broken.
     void link_lost(const std::string& member) { relay_.link_lost(member); }
-    // Fills in what this controller says of heartbeats and workers in its own status.
+    // Fills in the fields on heartbeats and workers in this controller's own status.
     void fill_status(peer::StatusMessage& status);
     // A term of this controller has begun or ended.
     void term_changed() { relayed_heartbeats_.clear(); }
 
   private:
     using Commands = LeaderTerm::Commands;
-    // What a controller that leads answers to a heartbeat.
+    // A leader's answer to a heartbeat.
     struct LeaderAnswer {
-        bool leads = true;  // false: it turned out not to lead
+        bool leads = true;  // false: this controller no longer leads
         std::uint64_t fencing_token = 0;
-        Commands commands;  // nothing: it must not answer now
+        Commands commands;  // nullopt: this controller must not answer now
     };
     awaitable<LeaderAnswer> answer_as_leader(model::Heartbeat heartbeat);
-    awaitable<void> await_begin_of_term();
+    awaitable<void> await_start_of_term();
     awaitable<net::Reply> answer_as_follower(model::Heartbeat heartbeat);
-    // Renews a lease without a leader's term.
+    // Renews a lease by the known cancellations, without a leader's term.
     Commands renew_lease_without_term(const model::Heartbeat& heartbeat);
     Commands renew_lease_while_leaderless(const model::Heartbeat& heartbeat);
     net::Reply redirect_to_leader(const std::string& member);
@@ -71,9 +72,9 @@
                         const model::Heartbeat& heartbeat);
     awaitable<void> answer_relayed_later(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
                                          model::Heartbeat heartbeat);
-    awaitable<void> answer_relayed_with_runs(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
-                                             std::shared_ptr<LeaderTerm> term, model::Heartbeat heartbeat,
-                                             LeaderTerm::Decision decision);
+    awaitable<void> answer_relayed_with_run_commands(std::shared_ptr<peer::RelayOutbox> outbox, std::uint64_t number,
+                                                     std::shared_ptr<LeaderTerm> term, model::Heartbeat heartbeat,
+                                                     LeaderTerm::Decision decision);
     std::shared_ptr<peer::RelayOutbox> outbox_to(const std::string& member, std::uint64_t incarnation);
 
     net::Executor ex_;
--- a/src/app/http_routes.cpp
+++ b/src/app/http_routes.cpp
@@ -15,16 +15,16 @@
     enum class Parameter : std::uint8_t {
         none,
         segment,  // an id without a slash
-        any,      // whatever stands there; the service refuses what is no id
+        any,      // any text; the service rejects an invalid id
     };
     std::string_view prefix;
     Parameter parameter;
     std::string_view suffix;
     verb method;
-    std::string_view allow;  // the method's name, for the answer to others
+    std::string_view allow;  // the method's name, for the Allow header of the answer to another method
     awaitable<Reply> (HttpRoutes::*handler)(Input);
 
-    // The id in the path, empty if the route has none; nothing if the path is another.
+    // The job's id in the path, empty if the route has none; nullopt if the path does not match.
     std::optional<std::string> match(std::string_view path) const;
 };
 
@@ -38,7 +38,7 @@
     return std::string(path);
 }
 
-// The first route that matches counts.
+// A request is handled by the first route that matches its path.
 std::span<const HttpRoutes::Route> HttpRoutes::routes() {
     using Parameter = Route::Parameter;
     static constexpr Route table[] = {
--- a/src/app/http_routes.hpp
+++ b/src/app/http_routes.hpp
@@ -1,4 +1,4 @@
-// The HTTP interface of a controller: one table of paths and methods, and which service answers each.
+// The HTTP interface of a controller: a table of paths and methods, with the service that answers each.
 #pragma once
 #include <functional>
 #include <span>
--- a/src/app/job_information.cpp
+++ b/src/app/job_information.cpp
@@ -22,7 +22,8 @@
 
 std::optional<api::Remembered> JobInformation::remembered(const std::string& uid) const {
     auto outcome = recovery_.outcome_of(uid);
-    // No user is told that a job is cancelled before that is on record: so what a peer says of it is as good.
+    // A cancellation is acknowledged to a user only when it is on record, so a peer's report of one is as good as the
+    // record.
     if ((!outcome || outcome->state == model::JobState::open) && cancellations_.knows(uid)) {
         if (!outcome) outcome.emplace();
         outcome->state = model::JobState::cancelled;
--- a/src/app/job_information.hpp
+++ b/src/app/job_information.hpp
@@ -1,5 +1,5 @@
-// What this controller can tell the submission service of a job without asking the state service: from its replica of
-// the records, from peers, and from the term that it leads.
+// Gives the submission service information about a job without a request to the state service: from the replica of the
+// records, from peers, and from the term that this controller leads.
 #pragma once
 #include <optional>
 #include <string>
@@ -18,7 +18,7 @@
                    const OwnLeadership& leadership)
         : recovery_(recovery), cancellations_(cancellations), leadership_(leadership) {}
 
-    // The count of the term that runs here, or else what the leader last said.
+    // The count of the term that runs here; otherwise the one that the leader last reported.
     api::DisplayCount display_count(const std::string& uid) const override;
     void peer_counts_received(const std::vector<peer::JobCount>& counts);
 
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -14,10 +14,10 @@
 
 constexpr auto load_poll_interval = 100ms;
 constexpr int load_polls = 25;
-constexpr auto runs_poll_interval = 60ms;
-// For how long an answer to a worker may wait for work.
+constexpr auto run_commands_poll_interval = 60ms;
+// How long a response to a worker may be held for a placement pass, or for the write of a placement.
 constexpr auto max_wait_for_plan = 420ms, max_wait_for_write = 1200ms;
-// After the records were read, in heartbeat intervals and beyond.
+// A heartbeat is overdue this many heartbeat intervals, and the margin, after the records were read.
 constexpr double overdue_intervals = 1.25;
 constexpr Seconds overdue_margin{3};
 
@@ -27,7 +27,7 @@
         co_await std::move(loop);
     } catch (const std::exception& e) {
         spdlog::error("event=loop_failed why=\"{}\"", e.what());
-        std::abort();  // a controller that goes on without one of its loops would be worse than none
+        std::abort();  // continuing without one of the loops would be worse than ending the process
     }
     (void)term;
 }
@@ -70,7 +70,8 @@
     context_.scheduler.set_machine_types(types);
 }
 
-// The lease rule: a leader that may have missed a cancellation stops answering in time.
+// The lease rule (scheduler/lease_rule.hpp): a leader that may have missed a cancellation stops answering early enough
+// that the cancelled work ends by its deadline.
 bool LeaderTerm::may_answer(model::TimePoint now) const {
     if (!context_.loaded || context_.stopped) return false;
     const auto read_at = context_.cancellations_read_at;
@@ -88,8 +89,8 @@
     for (int i = 0; i < load_polls && !context_.loaded && !context_.stopped; ++i)
         co_await net::sleep_for(load_poll_interval);
     auto decision = decide(heartbeat);
-    if (!decision.runs_expected) co_return std::move(decision.commands);
-    co_return co_await await_runs(std::move(heartbeat), std::move(decision));
+    if (!decision.run_commands_expected) co_return std::move(decision.commands);
+    co_return co_await await_run_commands(std::move(heartbeat), std::move(decision));
 }
 
 LeaderTerm::Decision LeaderTerm::decide(const model::Heartbeat& heartbeat) {
@@ -107,22 +108,24 @@
         context_.request_planning();
     }
     decision.passes = scheduler.passes();
-    decision.runs_expected = decision.commands->empty() && scheduler.expected_work(heartbeat, decision.passes) !=
-                                                               scheduler::Scheduler::Prospect::nothing;
+    decision.run_commands_expected =
+        decision.commands->empty() &&
+        scheduler.expected_work(heartbeat, decision.passes) != scheduler::Scheduler::Prospect::nothing;
     return decision;
 }
 
-// Commands travel in answers only, and the next heartbeat may be seconds away: where this one has made room, or a
-// placement is just being written, the answer waits a moment to carry the run. Workers wait for four seconds. It polls,
-// because a placement and the end of its write are many steps of the scheduler for many machines at once.
-awaitable<LeaderTerm::Commands> LeaderTerm::await_runs(model::Heartbeat heartbeat, Decision decision) {
+// Commands are sent only in responses to heartbeats, and the next heartbeat may be seconds away. So if this heartbeat
+// freed capacity, or a placement is being written, the response is held briefly to include the run command. Workers
+// wait four seconds for a response. This polls, because a placement pass and the end of its write are many steps of the
+// scheduler, each for many machines at once.
+awaitable<LeaderTerm::Commands> LeaderTerm::await_run_commands(model::Heartbeat heartbeat, Decision decision) {
     auto self = shared_from_this();
     using Prospect = scheduler::Scheduler::Prospect;
-    for (auto waited = 0ms; decision.commands->empty(); waited += runs_poll_interval) {
+    for (auto waited = 0ms; decision.commands->empty(); waited += run_commands_poll_interval) {
         const auto expected = context_.scheduler.expected_work(heartbeat, decision.passes);
         if (expected == Prospect::nothing) break;
         if (waited >= (expected == Prospect::a_write ? max_wait_for_write : max_wait_for_plan)) break;
-        co_await net::sleep_for(runs_poll_interval);
+        co_await net::sleep_for(run_commands_poll_interval);
         if (!may_answer(Clock::now())) co_return std::nullopt;
         *decision.commands = context_.scheduler.pending_runs(heartbeat);
     }
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -1,5 +1,5 @@
-// One term of leadership. It owns the scheduler and the loops that carry messages between it, the state service and the
-// cloud, and answers workers' heartbeats while that is safe. It ends with stop(); its loops end soon after.
+// One term of leadership. It owns the scheduler and the loops that connect it with the state service and the cloud, and
+// answers workers' heartbeats while the lease rule allows it. It ends with stop(); its loops end soon after.
 #pragma once
 #include <memory>
 #include <optional>
@@ -20,7 +20,7 @@
 
 class LeaderTerm : public std::enable_shared_from_this<LeaderTerm> {
   public:
-    // `unrecorded_tasks`: the records were rebuilt, so tasks may be on machines without a record.
+    // `unrecorded_tasks`: the records were rebuilt, so machines may hold tasks that are not on record.
     LeaderTerm(net::Executor executor, state::Store& store, cloud::Cloud& cloud, const config::Settings& settings,
                const config::OperatorSettings& operator_settings, const state::RecordFormat& record_format,
                election::Term term, bool unrecorded_tasks, LeaderTermEnvironment environment);
@@ -29,19 +29,21 @@
     void start(const std::vector<model::MachineType>& types);
     void stop() { context_.stop(); }
 
-    // Commands for a worker; nothing if this controller must not answer now.
+    // Commands for a worker; nullopt if this controller must not answer now.
     using Commands = std::optional<std::vector<model::Command>>;
-    // Answers a heartbeat. Waits for a while until the records are read, and for commands that are likely in a moment.
+    // Answers a heartbeat. Waits, for a limited time, until the records are read and for run commands that are
+    // expected.
     awaitable<Commands> handle_heartbeat(model::Heartbeat heartbeat);
 
     struct Decision {
         Commands commands;
-        std::uint64_t passes = 0;    // placement passes before it
-        bool runs_expected = false;  // commands to run something are likely in a moment: await_runs() waits for them
+        std::uint64_t passes = 0;            // placement passes before it
+        bool run_commands_expected = false;  // soon; await_run_commands() waits for them
     };
-    // Answers a heartbeat at once, for a term that has read the records.
+    // Answers a heartbeat without waiting; gives no commands until the records have been read.
     Decision decide(const model::Heartbeat& heartbeat);
-    awaitable<Commands> await_runs(model::Heartbeat heartbeat, Decision decision);
+    // Waits, for a limited time, for the run commands that `decision` expects.
+    awaitable<Commands> await_run_commands(model::Heartbeat heartbeat, Decision decision);
 
     std::uint64_t number() const { return context_.term_number; }
     // Whether the records have been read.
@@ -51,7 +53,7 @@
 
     // A record of a job was just read or written in this process.
     void job_changed(const state::KeyValue& record);
-    // Another controller, or a user's request here, says that the job is cancelled.
+    // The job is cancelled, as another controller reports or a user requested here.
     void cancelled_elsewhere(const std::string& uid);
     void set_machine_types(const std::vector<model::MachineType>& types);
     scheduler::Scheduler& scheduler() { return context_.scheduler; }
--- a/src/app/leader_term_adapters.hpp
+++ b/src/app/leader_term_adapters.hpp
@@ -1,4 +1,4 @@
-// Connects a leader's term to the elector and to the recovery coordinator, so that it knows neither.
+// Connects a leader's term to the elector and the recovery coordinator, so that LeaderTerm depends on neither.
 #pragma once
 #include "app/leader_term_environment.hpp"
 #include "app/peer_table.hpp"
@@ -12,7 +12,7 @@
     ElectorClaim(election::Elector& elector, const PeerTable& peers) : elector_(elector), peers_(peers) {}
     void verify() override { elector_.verify_leadership(); }
     void restart_term(const char* why) override { elector_.restart_term(why); }
-    bool others_reach_store() const override { return peers_.any_reaches_store(model::Clock::now()); }
+    bool any_peer_reaches_store() const override { return peers_.any_reaches_store(model::Clock::now()); }
 
   private:
     election::Elector& elector_;
--- a/src/app/leader_watchdog.cpp
+++ b/src/app/leader_watchdog.cpp
@@ -5,16 +5,17 @@
 namespace flintdale::app {
 
 namespace {
-// Of the machines that should report: so many redirected heartbeats beyond those received here are clearly more.
+// The leader resigns if the peers redirect more heartbeats than it receives, by this share of the expected machines.
 constexpr double clear_excess_share = 0.25;
 }  // namespace
 
 bool must_resign(const scheduler::HeartbeatCoverage& coverage, const PeerTable& peers, const config::Settings& settings,
                  model::TimePoint now) {
     if (!coverage.cut_off_from_workers()) return false;
-    // A controller that hears no worker and no peer is cut off, which needs no other evidence. A few workers, as a new
-    // leader hears at first when a zone is cut off together with the other controllers, are reason enough to stay.
-    const bool isolated = !settings.peers.empty() && coverage.heard == 0 && !peers.hears_any(now);
+    // A leader that receives from no worker and no peer is cut off; this needs no other evidence. With a few workers
+    // left it stays: when a zone is cut off together with the other controllers, a new leader receives only few
+    // heartbeats at first.
+    const bool isolated = !settings.peers.empty() && coverage.heard == 0 && !peers.has_recent_peer(now);
     const double redirects = peers.recent_redirects(now);
     spdlog::debug("event=few_heartbeats expected={} heard={} redirected={:.0f}", coverage.expected, coverage.heard,
                   redirects);
--- a/src/app/machine_type_catalog.cpp
+++ b/src/app/machine_type_catalog.cpp
@@ -52,7 +52,7 @@
             const bool count_changed = types_.size() != types->size();
             types_ = std::move(*types);
             callbacks_.changed(types_);
-            if (count_changed || !recorded_) co_await record();
+            if (count_changed || !recorded_) co_await record_types();
         } else if (types_.empty()) {
             co_await read_recorded();
         }
@@ -61,7 +61,7 @@
     }
 }
 
-awaitable<void> MachineTypeCatalog::record() {
+awaitable<void> MachineTypeCatalog::record_types() {
     const auto recorded = co_await store_.range(catalog_key, std::string(), state::RequestPriority::bookkeeping);
     if (recorded.outcome != state::Outcome::ok) co_return;
     recorded_ = true;
--- a/src/app/machine_type_catalog.hpp
+++ b/src/app/machine_type_catalog.hpp
@@ -1,5 +1,6 @@
-// The machine types that the cloud offers. It reads them from the cloud again and again, for prices move, and keeps
-// them on record: a controller that starts while the cloud's interface is down still has to tell what can run.
+// The machine types that the cloud offers. Reads them from the cloud at intervals, because prices change, and records
+// them in the state service, so that a controller that starts while the cloud's API is down still knows which jobs can
+// run.
 #pragma once
 #include <functional>
 #include <vector>
@@ -22,17 +23,17 @@
     MachineTypeCatalog(cloud::Cloud& cloud, state::Store& store, const state::RecordFormat& record_format,
                        Callbacks callbacks);
 
-    // Never ends.
+    // Never returns.
     awaitable<void> run();
     // Empty while they are not known.
     const std::vector<model::MachineType>& types() const { return types_; }
-    // The records were rebuilt, without the catalogue: it is to be recorded again.
+    // The records were rebuilt without the catalogue; requests that it is recorded again.
     void record_again() { recorded_ = false; }
 
   private:
-    awaitable<void> record();
+    awaitable<void> record_types();
     awaitable<void> read_recorded();
-    // The record of as many types from `first` on as one value can hold, and their number.
+    // A record of as many types from `first` on as fit in one value, and their number.
     struct Page {
         boost::json::value record;
         std::size_t count = 0;
@@ -44,7 +45,7 @@
     const state::RecordFormat& record_format_;
     Callbacks callbacks_;
     std::vector<model::MachineType> types_;
-    bool recorded_ = false;  // as far as is known
+    bool recorded_ = false;  // whether the types are believed to be on record
 };
 
 }  // namespace flintdale::app
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Sockets for the controller's own connections: a share of the limit, and at most so many.
+// Sockets for the controller's own connections: this part of the limit, and at most max_own_sockets.
 constexpr std::size_t own_sockets_divisor = 4;
 constexpr std::size_t max_own_sockets = 64;
 
--- a/src/app/peer_table.cpp
+++ b/src/app/peer_table.cpp
@@ -5,8 +5,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr auto recent_within = 3s;
-constexpr double redirects_kept = 0.8;  // from one message of a peer to the next, a second later
+constexpr auto recent_status_age = 3s;
+constexpr double redirects_decay = 0.8;  // per status message of a peer, which comes once a second
 }  // namespace
 
 void PeerTable::update(const peer::StatusMessage& message, TimePoint now) {
@@ -15,9 +15,9 @@
     peer.reaches_store = message.store_healthy;
     peer.leading = message.leading;
     peer.relays = message.relays;
-    peer.knows_records = message.generation > 0;
+    peer.has_read_records = message.generation > 0;
     peer.writes = message.writes;
-    peer.redirects = peer.redirects * redirects_kept + message.redirects;
+    peer.redirects = peer.redirects * redirects_decay + message.redirects;
     peer.incarnation = message.incarnation;
     peer.term = message.term;
 }
@@ -32,7 +32,7 @@
     return peer && recent(*peer, now) ? peer : nullptr;
 }
 
-bool PeerTable::hears_any(TimePoint now) const {
+bool PeerTable::has_recent_peer(TimePoint now) const {
     return any_recent(now, [](const std::string&, const PeerStatus&) { return true; });
 }
 
@@ -51,6 +51,6 @@
     return redirects;
 }
 
-bool PeerTable::recent(const PeerStatus& peer, TimePoint now) { return now - peer.received_at < recent_within; }
+bool PeerTable::recent(const PeerStatus& peer, TimePoint now) { return now - peer.received_at < recent_status_age; }
 
 }  // namespace flintdale::app
--- a/src/app/planning_loop.cpp
+++ b/src/app/planning_loop.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr auto minimum_interval = 200ms;
-constexpr auto placement_interval = 500ms;  // for windows that close without any change
+constexpr auto placement_interval = 500ms;  // placement windows may close without any change
 constexpr auto relocation_interval = 1s;
 constexpr auto summary_interval = 10s;
 }  // namespace
--- a/src/app/record_committer.cpp
+++ b/src/app/record_committer.cpp
@@ -36,7 +36,7 @@
 
 awaitable<bool> RecordCommitter::commit_next_batch() {
     auto& scheduler = context_.scheduler;
-    // In small portions: a large one would use up the writes of a second and keep users waiting for as long.
+    // Batches are small: a large one would use up the writes of a second and delay users' requests for as long.
     auto batch = scheduler.next_batch(context_.store.write_portion(), context_.environment.time_of_day_ms());
     if (batch.empty()) co_return false;
     state::Txn txn = batch.txn;
@@ -44,7 +44,7 @@
     if (context_.stopped) co_return false;
     if (result.outcome == Outcome::ok) {
         last_outcome_ = Outcome::ok;
-        // What waited for that may start.
+        // Work that depended on this write may be placed now.
         if (scheduler.batch_committed(batch, result.revision, Clock::now())) context_.request_planning();
         co_return true;
     }
@@ -70,14 +70,15 @@
     if (result.outcome == Outcome::refused) {
         co_await net::sleep_for(refused_delay);
     } else {
-        // This controller's own late or lost write may stand; the next one must be conditioned on its revisions.
+        // A write of this controller that came late, or whose response was lost, may have been applied; the next write
+        // must be conditioned on the revisions that it left.
         co_await read_again(result.outcome == Outcome::conflict ? result.failed : batch.keys);
     }
     if (context_.stopped) co_return;
     scheduler.batch_failed(batch);
 }
 
-// In an outage only the first failure is logged at the default level.
+// Repeated failures with the same outcome, as in an outage, are logged at the debug level only.
 void RecordCommitter::log_failure(const state::TxnResult& result) {
     spdlog::log(result.outcome == last_outcome_ ? spdlog::level::debug : spdlog::level::info,
                 "event=write_failed outcome={} failed={}", static_cast<int>(result.outcome), result.failed.size());
--- a/src/app/record_committer.hpp
+++ b/src/app/record_committer.hpp
@@ -1,5 +1,5 @@
 // Writes the scheduler's changes to the state service, each batch on the condition that this term is still the newest.
-// After a conflict, or without an answer, it reads the keys again before the scheduler tries anew.
+// After a conflict or a lost response, it reads the keys again before the scheduler retries.
 #pragma once
 #include "app/term_context.hpp"
 
@@ -12,7 +12,7 @@
     awaitable<void> run();
 
   private:
-    // Writes one batch. False if nothing is to be written, or the term has ended.
+    // Writes one batch. Returns whether more may have to be written; false also if the term has ended.
     awaitable<bool> commit_next_batch();
     awaitable<void> recover_from_failure(scheduler::Batch batch, state::TxnResult result);
     awaitable<void> read_again(std::vector<std::string> keys);
--- a/src/app/record_maintenance.cpp
+++ b/src/app/record_maintenance.cpp
@@ -25,7 +25,7 @@
         if (garbage.changes.empty()) continue;
         auto txn = garbage;
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::garbage_collection);
-        // After a conflict another controller has changed them; a later leader finds what is still there.
+        // After a conflict another controller has changed these records; a later leader removes what is left.
         if (result.outcome != Outcome::ok && result.outcome != Outcome::conflict)
             context_.scheduler.garbage_kept(garbage);
     }
--- a/src/app/record_watcher.cpp
+++ b/src/app/record_watcher.cpp
@@ -50,7 +50,8 @@
         const auto now = Clock::now();
         if (!apply_changes(changes, now)) co_return;
         if (changes.events.empty()) continue;
-        // This controller's own writes end a watch as well, and each watch is a request.
+        // This controller's own writes also complete a watch, and each watch costs a request; so watches are spaced
+        // out.
         if (const auto next = began + watch_interval; next > now) co_await net::sleep_for(next - now);
     }
 }
@@ -64,7 +65,8 @@
         return remembered.is_over(uid);
     };
     for (std::size_t i = 0; i < changes.events.size(); ++i) {
-        // A record that was missing when this term read all, and was put back since, may name machines that run tasks.
+        // A record that was missing when this term read all records, and was restored since, may name machines that run
+        // tasks.
         if (!changes.deleted[i] && context_.scheduler.is_behind(changes.events[i], is_over)) {
             context_.environment.leadership.restart_term("a record came back that this term has not read");
             return false;
@@ -90,9 +92,9 @@
         co_await net::sleep_for(load_retry_delay);
         co_return false;
     }
-    // A job may have been cancelled after its outcome was looked up, and a peer may have said so while this read was
-    // still under way. The watch reports it too, but not in an outage that begins now, and all_known_until() relies on
-    // it.
+    // A job may have been cancelled after its outcome was looked up, and a peer may have reported that during this
+    // read. The watch reports the cancellation too, but not if an outage begins now; all_known_until() relies on its
+    // being handled.
     for (const auto& uid : scheduler.open_jobs())
         if (context_.environment.cancellations.is_cancelled(uid)) scheduler.cancelled_by_peer(uid, Clock::now());
     watched_revision_ = work->revision;
@@ -107,13 +109,14 @@
     co_return true;
 }
 
-// What looks open may be of jobs that are over: they have an outcome. After many small jobs a large number of them are
-// over, and to read each outcome took seconds of a failover: so conditions tell, many in one transaction.
+// A job with open work on record may be over: then it has an outcome. After many small jobs a large number of jobs are
+// over, and reading each outcome took seconds of a failover. So the outcomes are tested by conditions, many in one
+// transaction.
 awaitable<bool> RecordWatcher::apply_existing_outcomes() {
     const auto open = context_.scheduler.open_jobs();
     std::size_t first = 0;
     while (first < open.size()) {
-        // The number of conditions may fall from one try to the next.
+        // The limit on conditions may fall between two attempts.
         const auto end = std::min(open.size(), first + context_.record_format.conditions());
         state::Txn txn;
         for (std::size_t i = first; i < end; ++i) txn.conditions.push_back({scheduler::outcome_key(open[i]), 0});
@@ -132,22 +135,22 @@
 
 void RecordWatcher::apply_outcome(const std::string& uid) {
     auto& cancellations = context_.environment.cancellations;
-    context_.scheduler.job_over(uid, Clock::now(), cancellations.cancelled_for(uid));
-    cancellations.found_over(uid);
+    context_.scheduler.job_over(uid, Clock::now(), cancellations.time_since_cancellation(uid));
+    cancellations.outcome_found(uid);
 }
 
-// Each job that is remembered to be open is on record, or over by now. Where it is neither, the guarded store reports
-// the answer to the recovery coordinator and does not return it here. A job that is remembered to be over and lacks its
-// outcome has been found by the look-up before this one.
+// Each job that is remembered as open must be on record, or be over by now. If a job is neither, the guarded store
+// reports that to the recovery coordinator and does not pass the answer on to this function. A job that is remembered
+// as over, and whose outcome is missing, was found by the conditions in apply_existing_outcomes().
 awaitable<bool> RecordWatcher::check_remembered_jobs() {
     std::vector<std::string> unread;
     for (auto& uid : context_.environment.remembered.open_jobs())
         if (!context_.scheduler.knows(uid)) unread.push_back(std::move(uid));
-    for (std::size_t at = 0; at < unread.size();) {
+    for (std::size_t next = 0; next < unread.size();) {
         state::Txn txn;
-        for (; at < unread.size() && txn.conditions.size() + 2 <= context_.record_format.conditions(); ++at) {
-            txn.conditions.push_back({scheduler::outcome_key(unread[at]), 0});
-            txn.conditions.push_back({scheduler::work_key(unread[at], 0), 0});
+        for (; next < unread.size() && txn.conditions.size() + 2 <= context_.record_format.conditions(); ++next) {
+            txn.conditions.push_back({scheduler::outcome_key(unread[next]), 0});
+            txn.conditions.push_back({scheduler::work_key(unread[next], 0), 0});
         }
         const auto result = co_await context_.store.commit(std::move(txn), RequestPriority::leadership);
         if (context_.stopped || !decided(result)) co_return false;
--- a/src/app/record_watcher.hpp
+++ b/src/app/record_watcher.hpp
@@ -1,5 +1,5 @@
-// Reads the records of jobs when a term begins, checks them against what this controller remembers, and then watches
-// them for changes. It tells the scheduler what it reads, and writes nothing.
+// Reads the job records when a term begins, checks them against those that this controller remembers, and then watches
+// them for changes. It passes the records to the scheduler, and writes none.
 #pragma once
 #include "app/term_context.hpp"
 
@@ -12,12 +12,12 @@
     awaitable<void> run();
 
   private:
-    // Reads all records of open work; false if that has to be repeated, or the term has ended.
+    // Reads all records of open work. Returns false if that has to be repeated, or the term has ended.
     awaitable<bool> load();
     awaitable<bool> apply_existing_outcomes();
     awaitable<bool> check_remembered_jobs();
     void apply_outcome(const std::string& uid);
-    // Tells the scheduler of the changes. False if this term has missed a record and must end.
+    // Passes the changes to the scheduler. Returns false if this term has missed a record and must end.
     bool apply_changes(const state::WatchResult& changes, TermContext::TimePoint now);
 
     TermContext& context_;
--- a/src/app/term_context.cpp
+++ b/src/app/term_context.cpp
@@ -9,7 +9,7 @@
 using model::Seconds;
 
 namespace {
-constexpr auto pause_threshold = 2500ms;  // between two turns of loops that are due within one second
+constexpr auto pause_threshold = 2500ms;  // between two calls of loops that run at least once a second
 constexpr auto read_retry_delay = 150ms;
 }  // namespace
 
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -1,5 +1,5 @@
-// What all loops of one term of leadership share: the scheduler, the state service, the wake-ups of the committing and
-// the planning loop, and whether the term has read the records and still runs. LeaderTerm owns it.
+// The state that all loops of one leader term share: the scheduler, the state service, the wakeups of the commit loop
+// and the planning loop, and whether the term has read the records and is still running. LeaderTerm owns it.
 #pragma once
 #include <optional>
 
@@ -15,7 +15,7 @@
 
 using net::awaitable;
 
-// All records under a prefix, and the revision of the first answer: a watch from there misses no change.
+// All records under a prefix, and the revision of the first page: a watch from that revision misses no change.
 struct RecordRange {
     std::vector<state::KeyValue> items;
     std::uint64_t revision = 0;
@@ -29,12 +29,13 @@
                 const config::OperatorSettings& operator_settings, const state::RecordFormat& format,
                 election::Term term, LeaderTermEnvironment term_environment);
 
-    // The current time, for a caller that is about to act on what was known before. The clock runs on while a process
-    // is paused, so after a gap missing heartbeats say nothing about machines, and another controller may lead. The
-    // loops call this at least once a second; the first call after a gap reports the pause.
+    // The current time, for a caller that is about to act on earlier observations. The clock advances while the process
+    // is paused, so after a gap a missing heartbeat is no evidence about its machine, and another controller may lead.
+    // The loops call this at least once a second; the first call after a gap reports the pause to the scheduler and has
+    // the leadership verified.
     TimePoint now_checking_for_pause();
 
-    // Something changed: write what must be written, and plan again.
+    // Wakes the commit loop and the planning loop after a change.
     void request_commit_and_planning();
     void request_planning();
     // Ends all loops, each at its next step.
@@ -42,7 +43,7 @@
 
     // A transaction that fails unless this term is still the newest on record.
     state::Txn conditioned_on_term() const;
-    // Reads all keys with that prefix, and retries until the state service has answered; nothing if the term has ended
+    // Reads all keys with that prefix, and retries until the state service responds. Returns nullopt if the term ends
     // meanwhile.
     awaitable<std::optional<RecordRange>> read_all(std::string prefix);
 
@@ -57,7 +58,7 @@
     bool loaded = false;              // the records have been read
     bool planning_requested = false;  // something changed since the last pass
     TimePoint loaded_at{};
-    // When the last read began that showed all cancellations up to then.
+    // Start of the last read or watch that showed all cancellations on record up to that time.
     TimePoint cancellations_read_at{};
 
   private:
--- a/src/app/worker_assignment.cpp
+++ b/src/app/worker_assignment.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-// Of the sockets; the rest are for users, and for workers that come at once when a controller ends.
+// Share of the sockets for workers. The rest is for users, and for workers that arrive at once when a controller ends.
 constexpr double worker_socket_share = 0.75;
+// Sockets for the controller's own connections: this part of the limit, and at most max_own_sockets.
 constexpr std::size_t own_sockets_divisor = 4;
 constexpr std::size_t max_own_sockets = 64;
-// Of a core, for one heartbeat and its answer over HTTP, as measured (docs/CAPACITY.md).
+// Seconds of one core for a heartbeat and its answer over HTTP (docs/CAPACITY.md).
 constexpr double direct_heartbeat_seconds = 60e-6, relayed_heartbeat_seconds = 70e-6;
-// Of the processor time, that a leader and others spend on heartbeats.
+// Share of the processor time that a leader, or a follower, may spend on heartbeats.
 constexpr double leader_cpu_share = 0.5, follower_cpu_share = 0.8;
-constexpr double intervals_per_period = 2.5;
+constexpr double intervals_per_period = 2.5;  // heartbeat intervals in a period in which workers are counted
 constexpr auto peer_timeout = 3s;
 constexpr auto fleet_size_lifetime = 60s;
-// A worker that is back so soon after it was redirected to the leader does not reach it.
+// A worker that returns within this time after a redirect to the leader cannot reach the leader.
 constexpr auto return_window = 20s;
-constexpr double overload_factor = 1.1;  // of the capacity, above which workers that are served are redirected
-constexpr double shed_share = 0.01;      // of the capacity, a second
+constexpr double overload_factor = 1.1;  // times the capacity: above it, workers that are served here are redirected
+constexpr double shed_share = 0.01;      // of the capacity: at most so many workers are redirected per second
 constexpr std::size_t max_redirected_remembered = 100'000;
 
 }  // namespace
@@ -59,7 +60,7 @@
     peer.redirected = 0;
     peer.received_at = now;
     if (!load.leading || load.fleet == 0) return;
-    // A leader that has just come may not know of all machines yet.
+    // A new leader may not know all machines yet, so a lower number counts only when the known one is old.
     if (load.fleet >= fleet_ || now - fleet_received_at_ > fleet_size_lifetime) {
         fleet_ = load.fleet;
         fleet_received_at_ = now;
@@ -94,7 +95,7 @@
     ++workers_this_period_;
 }
 
-// Slowly, for a worker that is redirected opens a new connection.
+// Workers are redirected slowly, because each of them opens a new connection.
 bool WorkerAssignment::may_shed(std::uint32_t workers, std::uint32_t capacity, TimePoint now) {
     if (workers <= capacity * overload_factor) return false;
     const Seconds interval(1 / std::max(1.0, capacity * shed_share));
@@ -130,8 +131,8 @@
     return redirect_to(found->second, found->first);
 }
 
-std::optional<std::string> WorkerAssignment::at_leader(const std::string& machine, const std::string& zone,
-                                                       TimePoint now) {
+std::optional<std::string> WorkerAssignment::redirect_at_leader(const std::string& machine, const std::string& zone,
+                                                                TimePoint now) {
     const auto here = workers(now);
     const auto limit = capacity(true);
     const bool redirects = serves(machine) ? may_shed(here, limit, now) : here >= limit;
@@ -145,7 +146,8 @@
     return fleet_ > 0 && fleet_ <= leader.load.capacity;
 }
 
-// The room that the leader has said, divided among all that may redirect workers to it before it says more.
+// The room that the leader last reported is divided among all controllers that may redirect workers to it until its
+// next report.
 bool WorkerAssignment::has_room(const Peer& leader) const {
     if (has_room_for_all(leader)) return true;
     const auto others = std::max<std::size_t>(1, settings_.peers.size());
@@ -158,8 +160,8 @@
     return it != redirected_to_leader_.end() && now - it->second < return_window;
 }
 
-std::optional<std::string> WorkerAssignment::at_follower(const std::string& machine, const std::string& zone,
-                                                         const std::string& leader, TimePoint now) {
+std::optional<std::string> WorkerAssignment::redirect_at_follower(const std::string& machine, const std::string& zone,
+                                                                  const std::string& leader, TimePoint now) {
     const auto here = workers(now);
     const auto limit = capacity(false);
     if (serves(machine)) {
--- a/src/app/write_limit_share.hpp
+++ b/src/app/write_limit_share.hpp
@@ -5,8 +5,8 @@
 
 namespace flintdale::app {
 
-// The writes a second that all controllers together ask for, by what this one knows. A peer that is not heard may go on
-// writing: its last known demand keeps counting, and at least as much as this controller's own.
+// The writes per second that all controllers together demand, as far as this one knows. A peer without a recent status
+// may still be writing: it counts with its last known demand, and at least with as much as this controller's own.
 double total_write_demand(double own, const PeerTable& peers, const config::Settings& settings, model::TimePoint now);
 
 }  // namespace flintdale::app
--- a/src/election/elector.cpp
+++ b/src/election/elector.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr auto abstention = 30s;                       // after it has resigned
-constexpr auto vacancy_that_ends_abstention = 3000ms;  // for then no other controller stands
+constexpr auto abstention_duration = 30s;        // after a resignation
+constexpr auto abstention_max_vacancy = 3000ms;  // a longer vacancy shows that no other controller campaigns
 constexpr auto retry_delay = 300ms;
 constexpr auto grant_retry_delay = 200ms;
 constexpr auto watch_duration = 10s;
@@ -58,16 +58,16 @@
     if (!leading_) return;
     resigned_ = true;
     vacant_since_.reset();
-    abstains_until_ = model::Clock::now() + abstention;
+    abstains_until_ = model::Clock::now() + abstention_duration;
     step_down(why);
 }
 
 bool Elector::abstains(bool own_claim) {
     const auto now = model::Clock::now();
     if (now >= abstains_until_) return false;
-    if (own_claim) return true;  // the claim that was given up has not ended yet
+    if (own_claim) return true;  // the claim of the resigned term has not ended yet
     if (!vacant_since_) vacant_since_ = now;
-    return now - *vacant_since_ < vacancy_that_ends_abstention;
+    return now - *vacant_since_ < abstention_max_vacancy;
 }
 
 void Elector::observe_term(std::uint64_t term, const std::string& leader) {
@@ -91,31 +91,31 @@
         }
         observe_term(term_number(term.item), member_of(holder.item));
         const bool vacant = holder.item.mod_revision == 0;
-        // A claim under this controller's own name, while it does not lead, is that of an earlier process or of a lost
-        // answer.
+        // While this controller does not lead, a claim under its own name was made by an earlier process, or by a
+        // transaction whose response was lost.
         const bool own_claim = !vacant && member_of(holder.item) == member_;
         if (!vacant && !own_claim) {
             vacant_since_.reset();
-            co_await stand_at_next_vacancy();
+            co_await campaign_at_next_vacancy();
         } else if (abstains(own_claim)) {
             co_await net::sleep_for(retry_delay);
         } else {
-            co_await stand_for_election(std::move(holder.item), std::move(term.item));
+            co_await campaign_and_lead(std::move(holder.item), std::move(term.item));
         }
     }
 }
 
-// Whoever waits for the vacancy claims it at once, by what the watch has reported of the term: a failover in a rolling
-// upgrade should go to a controller that is upgraded already, and older versions read both keys again first.
-awaitable<void> Elector::stand_at_next_vacancy() {
+// Claims the vacancy at once, with the term's record as the watch reported it. Older versions first read both keys
+// again; so in a rolling upgrade a controller that is already upgraded tends to win the failover, as it should.
+awaitable<void> Elector::campaign_at_next_vacancy() {
     auto last_term = co_await wait_for_vacancy();
     if (!last_term || abstains(false)) co_return;
     state::KeyValue no_holder;
     no_holder.key = holder_key;
-    co_await stand_for_election(std::move(no_holder), std::move(*last_term));
+    co_await campaign_and_lead(std::move(no_holder), std::move(*last_term));
 }
 
-awaitable<void> Elector::stand_for_election(state::KeyValue holder, state::KeyValue term) {
+awaitable<void> Elector::campaign_and_lead(state::KeyValue holder, state::KeyValue term) {
     const bool won = co_await campaign(std::move(holder), std::move(term));
     if (won) co_await lead();
 }
@@ -143,7 +143,7 @@
     }
     lease_ = granted.lease;
     own_term_ = next_term(term);
-    const bool gap = seen_term_ > term_number(term);
+    const bool record_lost = seen_term_ > term_number(term);
     auto txn = claim(holder, term);
     const auto result = co_await store_.commit(std::move(txn), RequestPriority::leadership);
     std::uint64_t mod_revision = result.outcome == Outcome::ok ? result.revision : 0;
@@ -162,12 +162,13 @@
     won.number = own_term_;
     won.mod_revision = mod_revision;
     won.previous = term_number(term);
-    won.gap = gap;
+    won.record_lost = record_lost;
     events_.elected(won);
     co_return true;
 }
 
-// A claim without an answer may have gone through: the lease in the term's record tells whether it was this one.
+// A claim whose response was lost may have been committed. It was if the term's record holds this claim's lease and
+// term.
 awaitable<std::uint64_t> Elector::revision_of_own_claim() {
     const auto found = co_await store_.get(term_key, RequestPriority::leadership);
     const bool own =
@@ -175,8 +176,8 @@
     co_return own ? found.item.mod_revision : 0;
 }
 
-// An outage alone ends no term: leases have their full time again after it, and writes are conditioned on the term
-// anyway.
+// An outage of the state service alone ends no term: after it, leases run for their full duration again, and every
+// write is conditioned on the term anyway.
 awaitable<void> Elector::lead() {
     while (leading_) {
         co_await wakeup_.wait(lease_duration_ / renewals_per_lease);
@@ -184,8 +185,8 @@
         if (verification_requested_) co_await check_term();
         if (!leading_) break;
         const auto outcome = co_await store_.renew(lease_);
-        // The lease expired while it could not be renewed. The term may still be the newest; it is claimed afresh if no
-        // other controller has won one.
+        // The lease expired while it could not be renewed. This term may still be the newest; then this controller
+        // claims a new one.
         if (outcome == Outcome::no_lease && leading_) step_down("the lease ran out");
     }
     if (std::exchange(resigned_, false)) co_await store_.revoke(lease_);
@@ -197,7 +198,7 @@
     if (term.outcome == Outcome::ok) observe_term(term_number(term.item), std::string());
 }
 
-// Both keys share a prefix, so one watch reports a vacancy and a new term alike.
+// Both keys share a prefix, so one watch reports vacancies and new terms.
 awaitable<std::optional<state::KeyValue>> Elector::wait_for_vacancy() {
     const auto current = co_await store_.range(leadership_prefix, std::string(), RequestPriority::leadership);
     if (current.outcome != Outcome::ok) {
@@ -218,7 +219,7 @@
             co_await net::sleep_for(watch_retry_delay);
             co_return std::nullopt;
         }
-        // A service that was set back would never report a vacancy after that revision.
+        // The state service was set back to an older state and would report no vacancy after `revision`.
         if (changes.revision < revision) co_return std::nullopt;
         revision = changes.revision;
         for (std::size_t i = 0; i < changes.events.size(); ++i)
--- a/src/election/members.cpp
+++ b/src/election/members.cpp
@@ -44,7 +44,7 @@
     for (const auto& peer : settings.peers) names_.push_back(peer.member);
 }
 
-// After a lost answer the key is read again.
+// If the response to the commit is lost, the next attempt reads whether the key was written.
 awaitable<bool> Members::enroll() {
     const auto key = member_key(member_);
     const auto found = co_await store_.get(key, RequestPriority::leadership);
@@ -76,7 +76,7 @@
     update_quota_table(page.items);
     const auto common = common_format(page.items);
     spdlog::info("event=members_enrolled enrolled={} of={} format={}", page.items.size(), names_.size(), common);
-    // Without all their names it is not known whether all are there.
+    // If the settings do not name every controller, it is unknown whether all have enrolled.
     if (names_.size() < controller_count_ || common < state::newest_format) co_return false;
     record_format_.all_read(common);
     co_return true;
@@ -91,8 +91,9 @@
     return common;
 }
 
-// A key stays when its controller is down, and with it the quota table that this goes by: so the strictest holds until
-// the last controller has come back with the new one, and a controller that is cut off or paused cannot know another.
+// A controller's key, and the quota table in it, persists while the controller is down. So the strictest combination
+// applies until the last controller has restarted with the new table, and a controller that is cut off or paused cannot
+// be using a table that is not on record.
 void Members::update_quota_table(const std::vector<state::KeyValue>& members) {
     auto table = own_table_;
     for (const auto& name : names_) {
@@ -120,7 +121,7 @@
     }
 }
 
-// Once the newest format is in use, it is the quota table that may still change.
+// Once the newest format is in use, only the quota tables can still change.
 awaitable<void> Members::wait_for_change(bool format_in_use) {
     while (revision_) {
         const auto changes = co_await store_.watch(members_prefix, revision_, watch_duration);
--- a/src/election/members.hpp
+++ b/src/election/members.hpp
@@ -1,7 +1,7 @@
-// Which record format every controller of the cluster can read, and which quota table holds. Each controller puts a key
-// of its own in the state service with both. A key stays when its controller ends. So what is known of a format once
-// all keys are there holds for good, also for a controller that is down or cut off, and nothing is ever concluded from
-// silence.
+// Determines which record format every controller of the cluster can read, and which quota table applies. Each
+// controller writes its format and its quota table to a key of its own in the state service. The key persists when the
+// controller stops. So once all keys show a format, every controller can read it, also one that is down or cut off. A
+// missing key is never taken as consent.
 #pragma once
 #include <functional>
 #include <string>
@@ -19,27 +19,27 @@
 
 class Members {
   public:
-    // `quota_changed` receives the table that holds now: while controllers with other tables are on record, the
-    // strictest of all.
+    // `quota_changed` receives the table that applies now. While the controllers' recorded tables differ, that is the
+    // strictest combination of all.
     Members(state::Store& store, const config::Settings& settings, state::RecordFormat& record_format,
             std::function<void(const quota::Table&)> quota_changed = {});
 
-    // Puts this controller's key in place, and follows those of the others. Never ends.
+    // Writes this controller's key, then follows the keys of all controllers. Never returns.
     awaitable<void> run();
-    // Puts this controller's key in place again, where it may have been lost.
+    // Writes this controller's key again if it was lost. Retries until the key is in place.
     awaitable<void> restore_enrollment();
-    // Whether this controller's own key is there.
+    // Whether this controller's own key has been written.
     bool enrolled() const { return enrolled_; }
 
   private:
-    // One attempt; true if the key is in place.
+    // Makes one attempt. Returns whether the key is in place.
     awaitable<bool> enroll();
     awaitable<void> enroll_with_retries();
-    // Reads the keys; true once all controllers are there and read the newest format.
+    // Reads the keys. Returns whether all controllers have one and read the newest format.
     awaitable<bool> all_read_newest_format();
     std::uint64_t common_format(const std::vector<state::KeyValue>& members) const;
     void update_quota_table(const std::vector<state::KeyValue>& members);
-    // Waits until a key changes, or the watch breaks off.
+    // Waits until a key changes or the watch fails; for one watch at most while the newest format is not in use.
     awaitable<void> wait_for_change(bool format_in_use);
 
     state::Store& store_;
@@ -48,8 +48,8 @@
     quota::Table own_table_, table_;
     std::string member_;
     std::size_t controller_count_;
-    std::vector<std::string> names_;  // of the controllers in the settings
-    std::uint64_t revision_ = 0;      // of the last read; 0 if it failed
+    std::vector<std::string> names_;  // of all controllers that the settings name
+    std::uint64_t revision_ = 0;      // of the last read or watch; 0 if the read failed
     bool enrolled_ = false;
 };
 
--- a/src/election/quota_table_record.cpp
+++ b/src/election/quota_table_record.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t figures_per_team = 4;
 
-// Limits of CPUs and GPUs, and guarantees of both; nothing if one of them is no number, or negative.
+// The limits of CPUs and GPUs, then the guarantees of both; nullopt if one of them is not a number, or is negative.
 std::optional<std::array<double, figures_per_team>> figures_in(const boost::json::value& value) {
     const auto* fields = value.if_array();
     if (!fields || fields->size() != figures_per_team) return std::nullopt;
--- a/src/election/quota_table_record.hpp
+++ b/src/election/quota_table_record.hpp
@@ -1,4 +1,4 @@
-// The teams' limits and guarantees as a controller puts them on record beside its name.
+// Encodes and decodes the teams' limits and guarantees in a controller's record under members/.
 #pragma once
 #include <boost/json.hpp>
 #include <optional>
@@ -9,7 +9,7 @@
 namespace flintdale::election {
 
 boost::json::object encode_quota_table(const quota::Table& table);
-// The table in a member's record; nothing if its version does not write one, or it cannot be read.
+// The table in a member's record; nullopt if the member's version writes none, or if it cannot be decoded.
 std::optional<quota::Table> quota_table_in(const state::KeyValue& record);
 
 }  // namespace flintdale::election
--- a/src/election/record_fields.hpp
+++ b/src/election/record_fields.hpp
@@ -1,4 +1,4 @@
-// Reads single fields of the election's records. A record that is absent, or of another shape, has none.
+// Reads single fields of the election's records. A record that is absent, or not a JSON object, has no fields.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace flintdale::election {
 
-// 0 if there is no such number.
+// 0 if the field is missing or not a number.
 std::uint64_t number_field(const state::KeyValue& record, std::string_view name);
-// Empty if there is no such text.
+// Empty if the field is missing or not a string.
 std::string text_field(const state::KeyValue& record, std::string_view name);
 
 }  // namespace flintdale::election
--- a/tests/term_number_test.cpp
+++ b/tests/term_number_test.cpp
@@ -22,7 +22,7 @@
     settle();
     ASSERT_EQ(won.size(), 1u);
     EXPECT_EQ(won[0].number, 5000u);
-    EXPECT_FALSE(won[0].gap);
+    EXPECT_FALSE(won[0].record_lost);
     store.keys = Keys();
     clock = 9000;
     elector.restart_term("the state service lost data");
@@ -30,7 +30,7 @@
     ASSERT_EQ(won.size(), 2u);
     EXPECT_EQ(won[1].number, 9000u);
     EXPECT_EQ(won[1].previous, 0u);
-    EXPECT_TRUE(won[1].gap) << "term 5000 was seen, and is not on record";
+    EXPECT_TRUE(won[1].record_lost) << "term 5000 was seen, and is not on record";
 }
 
 }  // namespace flintdale::test
--- a/tests/worker_assignment_test.cpp
+++ b/tests/worker_assignment_test.cpp
@@ -31,35 +31,36 @@
 TEST_F(WorkerAssignmentTest, SufficientLeaderServesAllWorkers) {
     app::WorkerAssignment assignment(cluster, operator_settings);
     assignment.peer_load_received("two", leader(0, 290), now);
-    for (int i = 0; i < 290; ++i) EXPECT_EQ(assignment.at_follower(machine(i), "a", "two", now), "two");
-    EXPECT_EQ(assignment.at_follower(machine(0), "a", "two", now), "two") << "also one that is back at once";
+    for (int i = 0; i < 290; ++i) EXPECT_EQ(assignment.redirect_at_follower(machine(i), "a", "two", now), "two");
+    EXPECT_EQ(assignment.redirect_at_follower(machine(0), "a", "two", now), "two") << "also one that is back at once";
     EXPECT_EQ(assignment.workers(now), 0u);
 }
 
 TEST_F(WorkerAssignmentTest, FullLeaderSendsNewcomersToTheLeastLoadedPeerOfTheirZoneFirst) {
     app::WorkerAssignment assignment(cluster, operator_settings);
-    for (int i = 0; i < 300; ++i) ASSERT_FALSE(assignment.at_leader(machine(i), "a", now)) << "there is nobody else";
+    for (int i = 0; i < 300; ++i)
+        ASSERT_FALSE(assignment.redirect_at_leader(machine(i), "a", now)) << "there is nobody else";
     assignment.peer_load_received("two", follower(100), now);
     assignment.peer_load_received("three", follower(50), now);
-    EXPECT_EQ(assignment.at_leader(machine(300), "a", now), "two");
-    EXPECT_EQ(assignment.at_leader(machine(301), "c", now), "three");
-    EXPECT_FALSE(assignment.at_leader(machine(5), "a", now)) << "who is served here stays";
+    EXPECT_EQ(assignment.redirect_at_leader(machine(300), "a", now), "two");
+    EXPECT_EQ(assignment.redirect_at_leader(machine(301), "c", now), "three");
+    EXPECT_FALSE(assignment.redirect_at_leader(machine(5), "a", now)) << "who is served here stays";
     // Versions that do not relay would send it back.
     assignment.peer_load_received("two", {false, false, 0, 300, 0}, now);
     assignment.peer_load_received("three", {false, false, 0, 300, 0}, now);
-    EXPECT_FALSE(assignment.at_leader(machine(302), "a", now));
+    EXPECT_FALSE(assignment.redirect_at_leader(machine(302), "a", now));
 }
 
 TEST_F(WorkerAssignmentTest, SurplusWorkersLeaveOneByOne) {
     app::WorkerAssignment assignment(cluster, operator_settings);
-    for (int i = 0; i < 400; ++i) ASSERT_FALSE(assignment.at_leader(machine(i), "a", now));
+    for (int i = 0; i < 400; ++i) ASSERT_FALSE(assignment.redirect_at_leader(machine(i), "a", now));
     assignment.peer_load_received("two", follower(0), now);
     int gone = 0;
-    for (int i = 0; i < 400; ++i) gone += assignment.at_leader(machine(i), "a", now).has_value();
+    for (int i = 0; i < 400; ++i) gone += assignment.redirect_at_leader(machine(i), "a", now).has_value();
     EXPECT_EQ(gone, 1);
     now += 1s;
     assignment.peer_load_received("two", follower(1), now);
-    for (int i = 0; i < 400; ++i) gone += assignment.at_leader(machine(i), "a", now).has_value();
+    for (int i = 0; i < 400; ++i) gone += assignment.redirect_at_leader(machine(i), "a", now).has_value();
     EXPECT_EQ(gone, 2);
 }
 
@@ -67,20 +68,20 @@
     app::WorkerAssignment assignment(cluster, operator_settings);
     assignment.peer_load_received("two", leader(260, 5000), now);
     int sent = 0;
-    for (int i = 0; i < 200; ++i) sent += assignment.at_follower(machine(i), "a", "two", now) == "two";
+    for (int i = 0; i < 200; ++i) sent += assignment.redirect_at_follower(machine(i), "a", "two", now) == "two";
     EXPECT_EQ(sent, 20) << "half of its room: there is one more that may send workers to it";
     EXPECT_EQ(assignment.workers(now), 180u);
     EXPECT_TRUE(assignment.serves(machine(150)));
-    EXPECT_FALSE(assignment.at_follower(machine(150), "a", "two", now));
+    EXPECT_FALSE(assignment.redirect_at_follower(machine(150), "a", "two", now));
 }
 
 TEST_F(WorkerAssignmentTest, WorkerThatCannotReachTheLeaderIsServedWhereItReturns) {
     app::WorkerAssignment assignment(cluster, operator_settings);
     assignment.peer_load_received("two", leader(100, 5000), now);
-    EXPECT_EQ(assignment.at_follower(machine(1), "a", "two", now), "two");
+    EXPECT_EQ(assignment.redirect_at_follower(machine(1), "a", "two", now), "two");
     now += 6s;
     assignment.peer_load_received("two", leader(100, 5000), now);
-    EXPECT_FALSE(assignment.at_follower(machine(1), "a", "two", now));
+    EXPECT_FALSE(assignment.redirect_at_follower(machine(1), "a", "two", now));
     now += 60s;
     EXPECT_FALSE(assignment.serves(machine(1)) && assignment.workers(now) == 0u);
 }
