--- a/src/api/job_checks.cpp
+++ b/src/api/job_checks.cpp
@@ -80,7 +80,7 @@
     const std::string uid = check->uid;
     for (int attempt = 0; attempt < max_attempts; ++attempt) {
         if (!check->completed) {
-            auto [error] = co_await check->answered.async_wait(net::quietly);
+            auto [error] = co_await check->answered.async_wait(net::use_nothrow_awaitable);
             (void)error;
         }
         const auto finding = check->finding;
--- a/src/api/job_knowledge.hpp
+++ b/src/api/job_knowledge.hpp
@@ -32,7 +32,7 @@
 
     bool knows_all_jobs() const { return memory_.knows_all_jobs(); }
     // The records were rebuilt: what they say of jobs that are not over has to be read again.
-    void forget_open() { cache_.forget_open(); }
+    void invalidate_open_jobs() { cache_.invalidate_open_jobs(); }
 
   private:
     JobEvidence remembered_as_over(const std::string& uid);
--- a/src/api/job_memory.hpp
+++ b/src/api/job_memory.hpp
@@ -15,7 +15,7 @@
     std::uint32_t done = 0, running = 0;
 };
 
-struct Remembered {
+struct RememberedJob {
     model::JobState state = model::JobState::open;
     model::JobSize size;
 };
@@ -24,7 +24,7 @@
   public:
     virtual ~JobMemory() = default;
     // What is remembered of the job, whether or not it is on record in its place; nothing if it is not remembered.
-    virtual std::optional<Remembered> remembered(const std::string& uid) const = 0;
+    virtual std::optional<RememberedJob> remembered(const std::string& uid) const = 0;
     // Whether a job that is neither on record nor remembered never was.
     virtual bool knows_all_jobs() const = 0;
     // The first record of an open job, which saves reading it; nothing if it has to be read.
--- a/src/api/known_jobs.cpp
+++ b/src/api/known_jobs.cpp
@@ -41,7 +41,7 @@
     return evidence;
 }
 
-void KnownJobs::forget_open() {
+void KnownJobs::invalidate_open_jobs() {
     entries_.remove_if([](const Entry& entry) { return !entry.job->over(); });
 }
 
--- a/src/api/known_jobs.hpp
+++ b/src/api/known_jobs.hpp
@@ -39,7 +39,7 @@
     // only ever moves forward.
     JobEvidence learn(const std::string& uid, KnownJob job);
     // The records were rebuilt: what they say of jobs that are not over has to be read again.
-    void forget_open();
+    void invalidate_open_jobs();
     std::size_t size() const { return entries_.size(); }
 
   private:
--- a/src/api/submission_service.hpp
+++ b/src/api/submission_service.hpp
@@ -45,7 +45,7 @@
     // POST /submissions/<uid>/cancel
     awaitable<Reply> cancel(std::string uid);
     // The records were rebuilt: what they say of jobs that are not over has to be read again.
-    void forget_open() { knowledge_.forget_open(); }
+    void invalidate_open_jobs() { knowledge_.invalidate_open_jobs(); }
 
   private:
     enum class AnswerTo : std::uint8_t { submission, poll };
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -182,7 +182,7 @@
 
 void Controller::records_rebuilt() {
     // Jobs that were believed to be open are looked up again; keys that are not rebuilt are written again.
-    submissions_.forget_open();
+    submissions_.invalidate_open_jobs();
     catalog_.record_again();
     net::asio::co_spawn(ex_, members_.restore_enrollment(), net::asio::detached);
 }
--- a/src/app/fencer.cpp
+++ b/src/app/fencer.cpp
@@ -180,7 +180,7 @@
         for (const auto& name : portion)
             spdlog::info("event=machine_fenced machine={} jobs={} first={}", name, jobs[name].size(),
                          *jobs[name].begin());
-        const bool released = co_await cloud_.release(portion);
+        const bool released = co_await cloud_.terminate(portion);
         if (!released) continue;
         fenced_ += portion.size();
         for (const auto& name : portion) cleared_[name].merge(jobs[name]);
--- a/src/app/fleet_loop.cpp
+++ b/src/app/fleet_loop.cpp
@@ -67,7 +67,7 @@
     names.reserve(releases.size());
     for (const auto& release : releases) names.push_back(release.machine);
     if (names.empty()) co_return;
-    const bool done = co_await cloud_.release(names);
+    const bool done = co_await cloud_.terminate(names);
     if (!done || context_.stopped) co_return;
     scheduler.machines_released(names, Clock::now());
     context_.request_commit_and_planning();
@@ -97,23 +97,23 @@
         ++request.attempts;
         const auto& pool = request.instances.pool;
         const auto result =
-            co_await cloud_.rent(request.name, pool.type, pool.zone, pool.spot, request.instances.count);
+            co_await cloud_.launch(request.name, pool.type, pool.zone, pool.spot, request.instances.count);
         if (context_.stopped) co_return false;
         if (apply_launch_result(std::move(request), result)) refused = true;
     }
     co_return refused;
 }
 
-bool FleetLoop::apply_launch_result(LaunchRequest request, const cloud::RentResult& result) {
+bool FleetLoop::apply_launch_result(LaunchRequest request, const cloud::LaunchResult& result) {
     const auto now = Clock::now();
-    if (result.outcome == cloud::Rent::unclear) {
+    if (result.outcome == cloud::LaunchOutcome::unknown) {
         // Asked again under the same name: if it was granted, the answer names the same machines.
         if (request.attempts < max_launch_attempts) unanswered_.push_back(std::move(request));
         return false;
     }
     const auto& pool = request.instances.pool;
     const auto granted = static_cast<int>(result.machines.size());
-    if (result.outcome == cloud::Rent::granted) {
+    if (result.outcome == cloud::LaunchOutcome::granted) {
         spdlog::info("event=machines_launched request={} type={} zone={} spot={} asked={} got={}", request.name,
                      pool.type, pool.zone, pool.spot, request.instances.count, granted);
         context_.scheduler.machines_launched(pool, result.machines, now);
--- a/src/app/fleet_loop.hpp
+++ b/src/app/fleet_loop.hpp
@@ -34,7 +34,7 @@
     awaitable<bool> launch_machines();
     void plan_launches();
     // Returns whether fewer machines than asked for were granted.
-    bool apply_launch_result(LaunchRequest request, const cloud::RentResult& result);
+    bool apply_launch_result(LaunchRequest request, const cloud::LaunchResult& result);
 
     TermContext& context_;
     cloud::Cloud& cloud_;
--- a/src/app/heartbeat_service.cpp
+++ b/src/app/heartbeat_service.cpp
@@ -155,11 +155,11 @@
     const auto leader = cluster_.leader();
     if (cluster_.leading() || leader == settings_.member || !relays_to(leader)) {
         // A message of another controller says nothing of the leader that is followed.
-        if (cluster_.leading() || status.member == leader) relay_.follow(std::nullopt);
+        if (cluster_.leading() || status.member == leader) relay_.set_leader(std::nullopt);
         return;
     }
     const auto& peer = *peers_.find(leader);
-    relay_.follow(peer::Leader{leader, peer.incarnation, peer.term});
+    relay_.set_leader(peer::Leader{leader, peer.incarnation, peer.term});
 }
 
 void HeartbeatService::fill_status(peer::StatusMessage& status) {
--- a/src/app/job_information.cpp
+++ b/src/app/job_information.cpp
@@ -20,7 +20,7 @@
     for (const auto& count : counts) peer_counts_[count.uid] = {count.done, count.running};
 }
 
-std::optional<api::Remembered> JobInformation::remembered(const std::string& uid) const {
+std::optional<api::RememberedJob> JobInformation::remembered(const std::string& uid) const {
     auto outcome = recovery_.outcome_of(uid);
     // No user is told that a job is cancelled before that is on record: so what a peer says of it is as good.
     if ((!outcome || outcome->state == model::JobState::open) && cancellations_.knows(uid)) {
@@ -28,7 +28,7 @@
         outcome->state = model::JobState::cancelled;
     }
     if (!outcome) return std::nullopt;
-    return api::Remembered{outcome->state, outcome->size};
+    return api::RememberedJob{outcome->state, outcome->size};
 }
 
 std::optional<state::KeyValue> JobInformation::open_record(const std::string& uid) const {
--- a/src/app/job_information.hpp
+++ b/src/app/job_information.hpp
@@ -22,7 +22,7 @@
     api::DisplayCount display_count(const std::string& uid) const override;
     void peer_counts_received(const std::vector<peer::JobCount>& counts);
 
-    std::optional<api::Remembered> remembered(const std::string& uid) const override;
+    std::optional<api::RememberedJob> remembered(const std::string& uid) const override;
     bool knows_all_jobs() const override { return recovery_.knows_all_jobs(); }
     std::optional<state::KeyValue> open_record(const std::string& uid) const override;
 
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -34,7 +34,7 @@
       server_(ex_, settings_.listen.host, settings_.listen.port, server_sockets(settings_),
               [this](net::Request request) { return controller_.handle(std::move(request)); }) {}
 
-peer::PeerConnections::Receive Node::peer_callbacks() {
+peer::PeerConnections::Callbacks Node::peer_callbacks() {
     return {[this](const peer::StatusMessage& status) { controller_.received(status); },
             [this](const peer::RelayMessage& message) { controller_.relayed(message); },
             [this](const std::string& member) { controller_.link_lost(member); }};
--- a/src/app/node.hpp
+++ b/src/app/node.hpp
@@ -15,7 +15,7 @@
     void start();
 
   private:
-    peer::PeerConnections::Receive peer_callbacks();
+    peer::PeerConnections::Callbacks peer_callbacks();
     Ports ports();
 
     net::Executor ex_;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -64,26 +64,27 @@
     }
 }
 
-awaitable<RentResult> HttpCloud::rent(std::string request, std::string type, std::string zone, bool spot, int count) {
+awaitable<LaunchResult> HttpCloud::launch(std::string request, std::string type, std::string zone, bool spot,
+                                          int count) {
     std::string target = "/machines";
     auto body = wire::launch_body(request, type, zone, spot, count);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body));
-    RentResult r;
+    LaunchResult r;
     if (answer.status == 200) {
         try {
             r.machines = wire::parse_launched(answer.body);
-            r.outcome = Rent::granted;
+            r.outcome = LaunchOutcome::granted;
         } catch (const wire::DecodeError&) {
         }
     } else if (answer.status == 503 && answer.body.find("no capacity") != std::string::npos) {
-        r.outcome = Rent::no_capacity;
+        r.outcome = LaunchOutcome::no_capacity;
     } else if (answer.status == 400) {
-        r.outcome = Rent::malformed;
+        r.outcome = LaunchOutcome::malformed;
     }
     co_return r;
 }
 
-awaitable<bool> HttpCloud::release(std::vector<std::string> names) {
+awaitable<bool> HttpCloud::terminate(std::vector<std::string> names) {
     std::string target = "/machines/release";
     auto body = wire::terminate_body(names);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body));
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -12,15 +12,15 @@
 using net::awaitable;
 
 // How a request to launch machines ended.
-enum class Rent : std::uint8_t {
+enum class LaunchOutcome : std::uint8_t {
     granted,
     no_capacity,  // the cloud has none of that type and zone now
     malformed,    // the cloud never accepts this request
-    unclear,      // no usable answer: the request may have been carried out
+    unknown,      // no usable answer: the request may have been carried out
 };
 
-struct RentResult {
-    Rent outcome = Rent::unclear;
+struct LaunchResult {
+    LaunchOutcome outcome = LaunchOutcome::unknown;
     std::vector<std::string> machines;  // granted: their names
 };
 
@@ -36,11 +36,11 @@
     virtual awaitable<std::optional<std::vector<model::ListedMachine>>> machines() = 0;
 
     // Launches `count` machines. `request`: an id under which the cloud carries the request out at most once.
-    virtual awaitable<RentResult> rent(std::string request, std::string type, std::string zone, bool spot,
-                                       int count) = 0;
+    virtual awaitable<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+                                           int count) = 0;
 
     // Terminates machines, by name; true if the cloud confirms it.
-    virtual awaitable<bool> release(std::vector<std::string> names) = 0;
+    virtual awaitable<bool> terminate(std::vector<std::string> names) = 0;
 };
 
 // The cloud over HTTP. A request that could not be sent within a second and a half after its turn is not sent at all.
@@ -49,8 +49,9 @@
     HttpCloud(net::Executor ex, const config::Settings& settings);
     awaitable<std::optional<std::vector<model::MachineType>>> catalog() override;
     awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override;
-    awaitable<RentResult> rent(std::string request, std::string type, std::string zone, bool spot, int count) override;
-    awaitable<bool> release(std::vector<std::string> names) override;
+    awaitable<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+                                   int count) override;
+    awaitable<bool> terminate(std::vector<std::string> names) override;
 
   private:
     awaitable<net::HttpAnswer> call(net::http::verb verb, std::string target, std::string body);
--- a/src/load_test/cloud_server.cpp
+++ b/src/load_test/cloud_server.cpp
@@ -78,7 +78,7 @@
     if (number < 1 || number > most_rented) return json_reply(400, {{"error", "number: out of range"}});
     auto granted = rentals_.rent(text("hire"), text("hosttype"), text("hall"), o.at("loaners").as_bool(), number);
     for (const auto* machine : granted.fresh) links_.rented(*machine);
-    if (granted.result.outcome != cloud::Rent::granted) return json_reply(503, {{"error", "no capacity"}});
+    if (granted.result.outcome != cloud::LaunchOutcome::granted) return json_reply(503, {{"error", "no capacity"}});
     return json_reply(200, {{"hosts", json::value_from(granted.result.machines)}});
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -49,7 +49,7 @@
 
 awaitable<void> HttpServer::accept_loop() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(quietly);
+        auto [ec, socket] = co_await acceptor_.async_accept(use_nothrow_awaitable);
         if (!acceptor_.is_open()) co_return;
         if (ec) {
             // Out of sockets, most likely: wait for some to close instead of spinning.
@@ -81,11 +81,11 @@
     if (buffer.size() == 0) {
         // Wait for the first byte under the long limit, for the rest under the short one: a client that sends its
         // request byte by byte occupies a session for seconds, not minutes.
-        auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, quietly);
+        auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, use_nothrow_awaitable);
         if (wec) co_return ReadResult::connection_ended;
     }
     stream.expires_after(request_limit);
-    auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, quietly);
+    auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
     if (!ec) {
         ++traffic_.requests;
         traffic_.bytes_in += bytes;
@@ -102,7 +102,7 @@
                                                       : "{\"error\":\"request: malformed\"}";
     auto response = to_response(std::move(reply), http_1_1, false);
     stream.expires_after(write_limit);
-    co_await http::async_write(stream, response, quietly);
+    co_await http::async_write(stream, response, use_nothrow_awaitable);
     boost::system::error_code ignored;
     stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
@@ -142,7 +142,7 @@
         auto reply = co_await handle(std::move(request));
         auto response = to_response(std::move(reply), version, keep_alive);
         stream.expires_after(write_limit);
-        auto [wec, written] = co_await http::async_write(stream, response, quietly);
+        auto [wec, written] = co_await http::async_write(stream, response, use_nothrow_awaitable);
         traffic_.bytes_out += written;
         if (wec || !keep_alive) co_return;
     }
--- a/src/peer/heartbeat_relay.cpp
+++ b/src/peer/heartbeat_relay.cpp
@@ -26,7 +26,7 @@
         [this](const RelayMessage& message) { send_failed(message); });
 }
 
-void HeartbeatRelay::follow(const std::optional<Leader>& leader) {
+void HeartbeatRelay::set_leader(const std::optional<Leader>& leader) {
     if (leader != leader_) {
         // Another leader, or the same one in another term, has decided on nothing that was sent before.
         forget_sent();
@@ -121,7 +121,7 @@
     pending->timer.expires_after(response_timeout);
     if (leader_) send(number, *pending);
     if (!pending->finished) {
-        auto [ec] = co_await pending->timer.async_wait(net::quietly);
+        auto [ec] = co_await pending->timer.async_wait(net::use_nothrow_awaitable);
         (void)ec;
     }
     pending->finished = true;
--- a/src/peer/heartbeat_relay.hpp
+++ b/src/peer/heartbeat_relay.hpp
@@ -40,7 +40,7 @@
 
     // Who leads now; nothing if there is no leader that heartbeats can be relayed to. Sends again what could not be
     // sent before.
-    void follow(const std::optional<Leader>& leader);
+    void set_leader(const std::optional<Leader>& leader);
 
     // The connection to that controller has broken: what was sent and not answered may be lost.
     void link_lost(const std::string& member);
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-PeerConnections::PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive)
-    : ex_(ex), acceptor_(ex), settings_(settings), receive_(std::move(receive)) {
+PeerConnections::PeerConnections(net::Executor ex, const config::Settings& settings, Callbacks callbacks)
+    : ex_(ex), acceptor_(ex), settings_(settings), callbacks_(std::move(callbacks)) {
     net::listen_when_free(acceptor_, settings.peer_listen.host, settings.peer_listen.port, backlog);
 }
 
@@ -75,7 +75,7 @@
     for (;;) {
         beast::tcp_stream stream(ex_);
         stream.expires_after(connect_limit);
-        auto [ec] = co_await stream.async_connect(endpoint, net::quietly);
+        auto [ec] = co_await stream.async_connect(endpoint, net::use_nothrow_awaitable);
         if (!ec) {
             boost::system::error_code ignored;
             stream.socket().set_option(net::tcp::no_delay(true), ignored);
@@ -84,7 +84,7 @@
             connection->connected = false;
             connection->status_messages.clear();
             connection->relay_messages.clear();
-            if (receive_.lost) receive_.lost(connection->member);
+            if (callbacks_.lost) callbacks_.lost(connection->member);
         }
         co_await net::sleep_for(reconnect_delay);
     }
@@ -102,19 +102,19 @@
         std::string receipts(frames, '\0');
         sending += relayed;
         stream.expires_after(send_limit);
-        auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::quietly);
+        auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::use_nothrow_awaitable);
         if (wec) co_return;
         // Each message is receipted, for a sender that only writes never learns that the other end has closed the
         // connection, as it does after the idle limit. A controller whose process had paused that long was not
         // received by its peers any more.
-        auto [rec, got] = co_await asio::async_read(stream, asio::buffer(receipts), net::quietly);
+        auto [rec, got] = co_await asio::async_read(stream, asio::buffer(receipts), net::use_nothrow_awaitable);
         if (rec) co_return;
     }
 }
 
 awaitable<void> PeerConnections::accept_loop() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(net::quietly);
+        auto [ec, socket] = co_await acceptor_.async_accept(net::use_nothrow_awaitable);
         if (ec) {
             co_await net::sleep_for(accept_retry_delay);
             continue;
@@ -126,12 +126,12 @@
 
 void PeerConnections::received(FrameKind kind, const std::string& message, std::uint64_t connection) {
     if (kind == FrameKind::relay) {
-        if (receive_.relay) receive_.relay(decode_relay(message));
+        if (callbacks_.relay) callbacks_.relay(decode_relay(message));
         return;
     }
     auto status = decode_status(message);
     status.connection = connection;
-    receive_.status(status);
+    callbacks_.status(status);
 }
 
 awaitable<void> PeerConnections::receive_loop(net::tcp::socket socket) {
@@ -145,13 +145,13 @@
     for (;;) {
         unsigned char header[header_size];
         stream.expires_after(idle_limit);
-        auto [hec, hn] = co_await asio::async_read(stream, asio::buffer(header), net::quietly);
+        auto [hec, hn] = co_await asio::async_read(stream, asio::buffer(header), net::use_nothrow_awaitable);
         if (hec) break;
         const std::size_t size = header[0] | header[1] << 8 | header[2] << 16;
         const auto kind = header[3];
         if (size == 0 || size > max_frame || kind > static_cast<unsigned char>(FrameKind::relay)) break;
         message.resize(size);
-        auto [bec, bn] = co_await asio::async_read(stream, asio::buffer(message), net::quietly);
+        auto [bec, bn] = co_await asio::async_read(stream, asio::buffer(message), net::use_nothrow_awaitable);
         if (bec) break;
         try {
             received(static_cast<FrameKind>(kind), message, connection);
@@ -159,7 +159,7 @@
             spdlog::error("event=peer_message_invalid why=\"{}\"", e.what());
             break;
         }
-        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&receipt, 1), net::quietly);
+        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&receipt, 1), net::use_nothrow_awaitable);
         if (rec) break;
     }
     --open_incoming_;
--- a/src/peer/peer_connections.hpp
+++ b/src/peer/peer_connections.hpp
@@ -21,7 +21,7 @@
 class PeerConnections {
   public:
     // Callbacks. `relay` and `lost` are optional.
-    struct Receive {
+    struct Callbacks {
         std::function<void(const StatusMessage&)> status;
         std::function<void(const RelayMessage&)> relay;
         // The connection to this member has broken: what was sent last may not have arrived.
@@ -29,7 +29,7 @@
     };
 
     // Binds the address for peers; throws std::runtime_error if it cannot. `settings` must outlive the object.
-    PeerConnections(net::Executor ex, const config::Settings& settings, Receive receive);
+    PeerConnections(net::Executor ex, const config::Settings& settings, Callbacks callbacks);
 
     // Starts to accept connections and to connect to all peers.
     void start();
@@ -79,7 +79,7 @@
     net::Executor ex_;
     net::tcp::acceptor acceptor_;
     const config::Settings& settings_;
-    Receive receive_;
+    Callbacks callbacks_;
     std::vector<std::shared_ptr<OutgoingConnection>> outgoing_;
     std::size_t open_incoming_ = 0;
     std::uint64_t accepted_ = 0;  // connections accepted so far
--- a/src/simulator/controllers.cpp
+++ b/src/simulator/controllers.cpp
@@ -44,13 +44,13 @@
         if (!there) co_return std::nullopt;
         co_return fleet_.list();
     }
-    net::awaitable<cloud::RentResult> rent(std::string request, std::string type, std::string zone, bool spot,
-                                           int count) override {
+    net::awaitable<cloud::LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+                                               int count) override {
         const bool there = co_await reach();
-        if (!there) co_return cloud::RentResult{};
+        if (!there) co_return cloud::LaunchResult{};
         co_return fleet_.rent(request, type, zone, spot, count);
     }
-    net::awaitable<bool> release(std::vector<std::string> names) override {
+    net::awaitable<bool> terminate(std::vector<std::string> names) override {
         const bool there = co_await reach();
         if (there) fleet_.release(names);
         co_return there;
--- a/src/simulator/fleet.cpp
+++ b/src/simulator/fleet.cpp
@@ -52,8 +52,8 @@
     }
 }
 
-cloud::RentResult Fleet::rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                              int count) {
+cloud::LaunchResult Fleet::rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                                int count) {
     auto granted = rentals_.rent(request, type, zone, spot, count);
     for (const auto* rented : granted.fresh) add(*rented, rented->type->boot * events_.uniform(0.6, 1.5));
     return std::move(granted.result);
--- a/src/simulator/fleet.hpp
+++ b/src/simulator/fleet.hpp
@@ -43,8 +43,8 @@
 
     // --- the cloud ---
     bool down = false;
-    cloud::RentResult rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                           int count);
+    cloud::LaunchResult rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                             int count);
     void release(const std::vector<std::string>& names);
     std::vector<model::ListedMachine> list() const { return rentals_.list(); }
 
--- a/src/simulator/rentals.cpp
+++ b/src/simulator/rentals.cpp
@@ -30,7 +30,7 @@
 Rentals::Granted Rentals::rent(const std::string& request, const std::string& type, const std::string& zone, bool spot,
                                int count) {
     Granted out;
-    out.result.outcome = cloud::Rent::granted;
+    out.result.outcome = cloud::LaunchOutcome::granted;
     if (const auto it = requests_.find(request); it != requests_.end()) {
         out.result.machines = it->second;
         return out;
@@ -38,7 +38,7 @@
     if (scenario_.capacity) {
         const auto left = scenario_.capacity - std::min(scenario_.capacity, machines_.size());
         count = std::min(count, static_cast<int>(left));
-        if (count == 0) out.result.outcome = cloud::Rent::no_capacity;
+        if (count == 0) out.result.outcome = cloud::LaunchOutcome::no_capacity;
     }
     for (const auto& t : scenario_.types)
         if (t.name == type)
@@ -46,7 +46,7 @@
                 out.fresh.push_back(&add(t, zone, spot));
                 out.result.machines.push_back(out.fresh.back()->name);
             }
-    if (out.result.outcome == cloud::Rent::granted) requests_[request] = out.result.machines;
+    if (out.result.outcome == cloud::LaunchOutcome::granted) requests_[request] = out.result.machines;
     return out;
 }
 
--- a/src/simulator/rentals.hpp
+++ b/src/simulator/rentals.hpp
@@ -24,7 +24,7 @@
     Rentals(Events& events, const config::Settings& settings, const Scenario& scenario, AddressOf address_of);
 
     struct Granted {
-        cloud::RentResult result;
+        cloud::LaunchResult result;
         std::vector<const Rented*> fresh;  // the machines that were not there before, valid until released
     };
     // A request that was granted before is given the same answer, and nothing is rented for it.
--- a/tests/fencer_test.cpp
+++ b/tests/fencer_test.cpp
@@ -45,10 +45,10 @@
         }
         co_return out;
     }
-    net::awaitable<cloud::RentResult> rent(std::string, std::string, std::string, bool, int) override {
-        co_return cloud::RentResult{};
+    net::awaitable<cloud::LaunchResult> launch(std::string, std::string, std::string, bool, int) override {
+        co_return cloud::LaunchResult{};
     }
-    net::awaitable<bool> release(std::vector<std::string> names) override {
+    net::awaitable<bool> terminate(std::vector<std::string> names) override {
         if (!cloud_answers) co_return false;
         for (const auto& name : names) {
             released.insert(name);
--- a/tests/golden_controller_test.cpp
+++ b/tests/golden_controller_test.cpp
@@ -51,15 +51,15 @@
     net::awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override {
         co_return std::vector<model::ListedMachine>();
     }
-    net::awaitable<cloud::RentResult> rent(std::string request, std::string type, std::string zone, bool spot,
-                                           int count) override {
+    net::awaitable<cloud::LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+                                               int count) override {
         noted += "rents " + wire::launch_body(request, type, zone, spot, count) + "\n";
-        cloud::RentResult result;
-        result.outcome = cloud::Rent::granted;
+        cloud::LaunchResult result;
+        result.outcome = cloud::LaunchOutcome::granted;
         for (int i = 0; i < count; ++i) result.machines.push_back("n-0009" + std::to_string(10 + rented_++));
         co_return result;
     }
-    net::awaitable<bool> release(std::vector<std::string> names) override {
+    net::awaitable<bool> terminate(std::vector<std::string> names) override {
         noted += "returns " + wire::terminate_body(names) + "\n";
         co_return true;
     }
--- a/tests/golden_services_test.cpp
+++ b/tests/golden_services_test.cpp
@@ -261,14 +261,14 @@
     service.gives(400, "{}");
     service.gives(429, "{}");
     for (int i = 0; i < 5; ++i) {
-        const auto rented = service.run(cloud.rent("r-17", "g8", "a", true, 12));
+        const auto rented = service.run(cloud.launch("r-17", "g8", "a", true, 12));
         understood += std::to_string(static_cast<int>(rented.outcome));
         for (const auto& name : rented.machines) understood += " " + name;
         understood += "\n";
     }
     for (const unsigned status : {200u, 503u}) {
         service.gives(status, "{}");
-        understood += service.run(cloud.release({"n-000231", "n-000232"})) ? "returned\n" : "not returned\n";
+        understood += service.run(cloud.terminate({"n-000231", "n-000232"})) ? "returned\n" : "not returned\n";
     }
     expect_golden("cloud_renting_asked.txt", service.asked);
     expect_golden("cloud_renting_understood.txt", understood);
--- a/tests/known_jobs_test.cpp
+++ b/tests/known_jobs_test.cpp
@@ -37,7 +37,7 @@
     KnownJobs known(1);
     const auto evidence = known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::open));
-    known.forget_open();
+    known.invalidate_open_jobs();
     EXPECT_EQ(known.size(), 0u);
     EXPECT_EQ(evidence->state, JobState::open);
     EXPECT_EQ(evidence->size.tasks, 3u);
@@ -47,7 +47,7 @@
     KnownJobs known(3);
     known.learn("run-1", job(JobState::open));
     known.learn("run-2", job(JobState::done));
-    known.forget_open();
+    known.invalidate_open_jobs();
     EXPECT_FALSE(known.find("run-1"));
     EXPECT_TRUE(known.find("run-2"));
 }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -99,7 +99,7 @@
 }  // namespace
 
 TEST_F(HeartbeatRelayTest, UnchangedHeartbeatIsRelayedInAFewBytes) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     peer::RelayedHeartbeatCache kept;
     const auto first = ask(report("n-1", 10, 200));
     ASSERT_EQ(sent.size(), 1u);
@@ -122,7 +122,7 @@
 
 // Two reports of one worker under way, the later one a copy of what it held long ago.
 TEST_F(HeartbeatRelayTest, LateCopyIsNotWhatTheNextHeartbeatRepeats) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     peer::RelayedHeartbeatCache kept;
     ask(report("n-1", 10, 3));
     const auto newest = full();
@@ -151,7 +151,7 @@
 }
 
 TEST_F(HeartbeatRelayTest, HeartbeatUnknownToTheLeaderIsSentInFull) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     ask(report("n-1", 10, 2));
     says("one", answer(full()));
     const auto again = ask(report("n-1", 11, 2));
@@ -168,11 +168,11 @@
 }
 
 TEST_F(HeartbeatRelayTest, PendingHeartbeatsGoToTheNextLeaderAndOldResponsesAreIgnored) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     const auto waiting = ask(report("n-1", 10, 2));
     const auto number = full();
-    relay.follow(std::nullopt);
-    relay.follow(leads("three", term + 1));
+    relay.set_leader(std::nullopt);
+    relay.set_leader(leads("three", term + 1));
     pass(30ms);
     ASSERT_EQ(sent.back().first, "three");
     EXPECT_EQ(sent.back().second.reports.at(0).report, report("n-1", 10, 2));
@@ -184,13 +184,13 @@
 }
 
 TEST_F(HeartbeatRelayTest, ResponseOfASupersededTermIsNotForwarded) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     const auto overtaken = ask(report("n-1", 10, 2));
     says("one", answer(full()), term + 1);
     EXPECT_TRUE(overtaken->over);
     EXPECT_FALSE(overtaken->answer);
     // The same leader has won another term between the report and its answer.
-    relay.follow(leads("one", term + 2));
+    relay.set_leader(leads("one", term + 2));
     const auto older = ask(report("n-1", 11, 2));
     says("one", answer(full(), term), term + 2);
     EXPECT_FALSE(older->answer);
@@ -200,7 +200,7 @@
 }
 
 TEST_F(HeartbeatRelayTest, ResponseDelayedBeyondTheWorkersTimeoutReachesNobody) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     const auto late = ask(report("n-1", 10, 2));
     const auto number = full();
     pass(4s);
@@ -213,18 +213,18 @@
 }
 
 TEST_F(HeartbeatRelayTest, KeepsTryingWhileCutOffFromTheLeaderAndForgetsNothing) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     link_up = false;
     const auto waiting = ask(report("n-1", 10, 2));
     pass(1s);
     EXPECT_TRUE(sent.empty());
     link_up = true;
-    relay.follow(leads("one"));  // it is heard again
+    relay.set_leader(leads("one"));  // it is heard again
     pass(30ms);
     ASSERT_EQ(sent.size(), 1u);
     // The link breaks with the report on its way.
     relay.link_lost("one");
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     pass(30ms);
     ASSERT_EQ(sent.size(), 2u);
     EXPECT_EQ(sent[1].second.reports.at(0).number, sent[0].second.reports.at(0).number);
@@ -234,7 +234,7 @@
 
 TEST_F(HeartbeatRelayTest, RefusesMoreHeartbeatsThanSocketsAllow) {
     cluster.max_sockets = 3;
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     std::vector<std::shared_ptr<Told>> all;
     for (int i = 0; i < 4; ++i) all.push_back(ask(report("n-" + std::to_string(i), 1, 1)));
     EXPECT_FALSE(all[2]->over);
@@ -243,7 +243,7 @@
 }
 
 TEST_F(HeartbeatRelayTest, HeartbeatsOfOneMomentShareAMessage) {
-    relay.follow(leads("one"));
+    relay.set_leader(leads("one"));
     for (int i = 0; i < 50; ++i)
         net::asio::co_spawn(io, relay.relay(report("n-" + std::to_string(i), 1, 5)), net::asio::detached);
     pass(30ms);
--- a/tests/support/submission_fixture.hpp
+++ b/tests/support/submission_fixture.hpp
@@ -16,11 +16,11 @@
 
 // What the controller remembers of jobs, as a test sets it.
 struct FakeJobMemory : api::JobMemory {
-    std::map<std::string, api::Remembered> jobs;
+    std::map<std::string, api::RememberedJob> jobs;
     std::map<std::string, state::KeyValue> open_records;
     bool complete = true;
 
-    std::optional<api::Remembered> remembered(const std::string& uid) const override {
+    std::optional<api::RememberedJob> remembered(const std::string& uid) const override {
         const auto it = jobs.find(uid);
         return it == jobs.end() ? std::nullopt : std::optional(it->second);
     }
