--- a/src/api/dependency_checks.cpp
+++ b/src/api/dependency_checks.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr int max_rounds = 32;  // of checking the dependencies of a job, and theirs
+constexpr int max_rounds = 32;  // of checks of a job and its direct and indirect dependencies
 
-std::optional<std::string> complaint_about(const std::string& uid, const JobEvidence& job) {
+std::optional<std::string> rejection_reason_for(const std::string& uid, const KnownJobPtr& job) {
     if (!job) return "prereqs: " + uid + " was never accepted";
     if (job->size.kind == model::JobKind::service) return "prereqs: " + uid + " is a service, which is never done";
     return std::nullopt;
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// A job that is known here was accepted, for good. Of any other the state service is asked now: jobs of a pipeline come
-// one right after the other, to different controllers.
+// A job in the cache was accepted, which never changes. Any other job is checked against the state service now, because
+// the jobs of a pipeline are submitted in quick succession to different controllers.
 awaitable<DependencyChecks::Acceptability> DependencyChecks::check_new(std::vector<std::string> dependencies,
                                                                        TimePoint deadline) {
     Acceptability out;
@@ -37,23 +37,23 @@
     }
     if (!out.known) co_return out;
     for (const auto& [uid, job] : jobs) {
-        out.complaint = complaint_about(uid, job);
-        if (out.complaint) break;
+        out.rejection_reason = rejection_reason_for(uid, job);
+        if (out.rejection_reason) break;
     }
     co_return out;
 }
 
-awaitable<JobCheck> DependencyChecks::current(std::string uid, TimePoint deadline) {
+awaitable<JobCheck> DependencyChecks::check_current(std::string uid, TimePoint deadline) {
     CheckedJobs checked;
     for (int round = 0; round < max_rounds; ++round) {
         auto open = open_jobs_of(uid, checked);
-        take_jobs_known_to_be_over(open.unchecked, checked);
+        move_ended_jobs(open.unchecked, checked);
         const auto own = checked.find(uid);
-        if (own != checked.end() && (!own->second || own->second->over())) co_return JobCheck{true, own->second};
+        if (own != checked.end() && (!own->second || own->second->ended())) co_return JobCheck{true, own->second};
         if (open.dependency_cancelled && own != checked.end()) {
             const auto job = own->second;
-            state::KeyValue unread;
-            const auto outcome = co_await records_.cancel(uid, job, std::move(unread));
+            state::KeyValue no_record;
+            const auto outcome = co_await records_.cancel(uid, job, std::move(no_record));
             if (outcome == Outcome::ok) co_return JobCheck{true, knowledge_.newest(uid, job)};
             if (outcome != Outcome::conflict) co_return JobCheck{};
             checked.erase(uid);
@@ -79,19 +79,19 @@
         if (it == checked.end()) out.unchecked.push_back(names[i]);
         const auto job = it == checked.end() ? knowledge_.find(names[i]) : it->second;
         if (i > 0 && job && job->state == JobState::cancelled) out.dependency_cancelled = true;
-        if (!job || job->over()) continue;
+        if (!job || job->ended()) continue;
         for (const auto& name : job->dependencies)
             if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
     }
     return out;
 }
 
-void DependencyChecks::take_jobs_known_to_be_over(std::vector<std::string>& unchecked, CheckedJobs& checked) {
+void DependencyChecks::move_ended_jobs(std::vector<std::string>& unchecked, CheckedJobs& checked) {
     std::erase_if(unchecked, [&](const std::string& name) {
         auto job = knowledge_.find(name);
-        const bool over = job && job->over();
-        if (over) checked[name] = std::move(job);
-        return over;
+        const bool ended = job && job->ended();
+        if (ended) checked[name] = std::move(job);
+        return ended;
     });
 }
 
--- a/src/api/job_checks.cpp
+++ b/src/api/job_checks.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr int max_attempts = 3;  // of checking a job that changes meanwhile
-// The next comparison waits no longer than this for one that is slow or has no answer.
+constexpr int max_attempts = 3;  // to check a job whose records change concurrently
+// The next comparison starts after this time even if the last one is slow or gets no response.
 constexpr std::chrono::milliseconds comparison_interval{50};
-constexpr std::size_t max_comparisons_under_way = 8;
-constexpr std::chrono::seconds wait_for_any_answer{1};
+constexpr std::size_t max_comparisons_in_progress = 8;
+constexpr std::chrono::seconds max_wait_when_saturated{1};
 
 bool contains(const std::vector<std::string>& keys, const std::string& key) {
     return std::find(keys.begin(), keys.end(), key) != keys.end();
@@ -27,31 +27,31 @@
 
 class JobChecks::Pending {
   public:
-    // What the comparison showed.
+    // The result of the comparison.
     enum class Finding : std::uint8_t {
-        none_yet,
-        as_known,        // the job is open, as was known before
-        outcome_exists,  // which was not known
-        work_exists,     // of a job that was not known
-        neither_exists,
+        none,            // no comparison yet, or no usable response
+        unchanged,       // the job is in the cache as open, and still open
+        outcome_exists,  // the job has ended
+        work_exists,     // the job is not in the cache, and open
+        neither_exists,  // neither of its keys exists
     };
 
     Pending(net::Executor executor, std::string job, TimePoint end)
-        : answered(executor), uid(std::move(job)), deadline(end) {
-        answered.expires_at(deadline);
+        : completion_timer(executor), uid(std::move(job)), deadline(end) {
+        completion_timer.expires_at(deadline);
     }
 
     void complete() {
         completed = true;
-        answered.cancel();
+        completion_timer.cancel();
     }
 
-    net::Timer answered;
+    net::Timer completion_timer;
     std::string uid;
     TimePoint deadline;
-    JobEvidence known;  // when the service was asked: that the job exists
-    Finding finding = Finding::none_yet;
-    bool completed = false;  // the service has answered, or failed to
+    KnownJobPtr known;  // the cached job when the comparison started; null if it was not cached
+    Finding finding = Finding::none;
+    bool completed = false;  // the comparison has succeeded or failed
 };
 
 JobChecks::JobChecks(net::Executor executor, state::Store& store, const state::RecordFormat& record_format,
@@ -80,18 +80,18 @@
     const std::string uid = check->uid;
     for (int attempt = 0; attempt < max_attempts; ++attempt) {
         if (!check->completed) {
-            auto [error] = co_await check->answered.async_wait(net::use_nothrow_awaitable);
+            auto [error] = co_await check->completion_timer.async_wait(net::use_nothrow_awaitable);
             (void)error;
         }
         const auto finding = check->finding;
-        if (finding == Finding::none_yet) co_return JobCheck{};
-        if (finding == Finding::neither_exists) co_return knowledge_.not_on_record(uid);
-        if (finding == Finding::as_known) co_return JobCheck{true, check->known};
+        if (finding == Finding::none) co_return JobCheck{};
+        if (finding == Finding::neither_exists) co_return knowledge_.result_if_absent(uid);
+        if (finding == Finding::unchanged) co_return JobCheck{true, check->known};
         auto key = finding == Finding::outcome_exists ? scheduler::outcome_key(uid) : scheduler::work_key(uid, 0);
         const auto found = co_await records_.read_key(uid, std::move(key));
         if (found.outcome != Outcome::ok) co_return JobCheck{};
         if (found.job) co_return JobCheck{true, found.job};
-        // The job has ended since, and its work been removed.
+        // The job has ended since the comparison, and its work record was removed.
         check = request(uid, check->deadline);
     }
     co_return JobCheck{};
@@ -102,15 +102,15 @@
         const auto now = Clock::now();
         const auto next = last_comparison_ + comparison_interval;
         const bool full_batch = requested_.size() >= record_format_.conditions() / 2;
-        const bool too_many = comparisons_under_way_ >= max_comparisons_under_way;
-        if (too_many || (comparisons_under_way_ > 0 && !full_batch && now < next)) {
-            co_await wakeup_.wait(too_many ? Clock::duration(wait_for_any_answer) : next - now);
+        const bool too_many = comparisons_in_progress_ >= max_comparisons_in_progress;
+        if (too_many || (comparisons_in_progress_ > 0 && !full_batch && now < next)) {
+            co_await wakeup_.wait(too_many ? Clock::duration(max_wait_when_saturated) : next - now);
             continue;
         }
         auto batch = next_batch();
         if (batch.empty()) continue;
         last_comparison_ = now;
-        ++comparisons_under_way_;
+        ++comparisons_in_progress_;
         net::asio::co_spawn(executor_, compare(std::move(batch)), net::asio::detached);
     }
     running_ = false;
@@ -133,13 +133,13 @@
     const bool knew_all_jobs = knowledge_.knows_all_jobs();
     auto txn = comparison_of(batch);
     const auto result = co_await store_.commit(std::move(txn), state::RequestPriority::user);
-    --comparisons_under_way_;
+    --comparisons_in_progress_;
     wakeup_.notify();
     apply(result, batch, knew_all_jobs);
 }
 
 state::Txn JobChecks::comparison_of(const Batch& batch) {
-    std::map<std::string, JobEvidence> known;
+    std::map<std::string, KnownJobPtr> known;
     state::Txn txn;
     for (const auto& check : batch) {
         const auto [it, inserted] = known.try_emplace(check->uid);
@@ -160,7 +160,7 @@
         if (answered && contains(result.failed, scheduler::outcome_key(check->uid)))
             check->finding = Finding::outcome_exists;
         else if (answered && check->known)
-            check->finding = Finding::as_known;
+            check->finding = Finding::unchanged;
         else if (answered && contains(result.failed, scheduler::work_key(check->uid, 0)))
             check->finding = Finding::work_exists;
         else if (answered && knew_all_jobs)
--- a/src/api/job_checks.hpp
+++ b/src/api/job_checks.hpp
@@ -1,6 +1,6 @@
-// Checks jobs against the state service in batches. Every check is answered by a comparison of keys that began after it
-// was requested; all checks requested while a comparison is under way share the next one. A comparison that is slow, or
-// never answered, does not hold back the next.
+// Checks the state of jobs against the state service in batches. The result of a check comes from a comparison of keys
+// that started after the check was requested. Checks requested while a comparison is in progress share the next one. A
+// comparison that is slow or gets no response does not delay the next.
 #pragma once
 #include <deque>
 #include <memory>
@@ -20,27 +20,27 @@
   public:
     using TimePoint = model::TimePoint;
 
-    // The check of one job, under way or done.
+    // The check of one job, in progress or completed.
     class Pending;
     using PendingCheck = std::shared_ptr<Pending>;
 
     JobChecks(net::Executor executor, state::Store& store, const state::RecordFormat& record_format,
               JobKnowledge& knowledge, JobRecords& records);
 
-    // Requests a check. After `deadline` the client that waits for it has gone, and it is dropped.
+    // Requests a check. It is dropped after `deadline`, when the client has stopped waiting.
     PendingCheck request(std::string uid, TimePoint deadline);
-    // Waits for the check. A job that was not known here is read, by whoever waits, so that no other check waits for
-    // that.
+    // Waits for the check. If the job is not in the cache, the caller's coroutine reads it, so that no other check
+    // waits for that read.
     awaitable<JobCheck> result(PendingCheck check);
 
   private:
     using Batch = std::vector<PendingCheck>;
 
     awaitable<void> run();
-    // As many checks as one comparison holds, without those that have expired.
+    // Takes as many requested checks as one comparison holds and drops expired ones.
     Batch next_batch();
     awaitable<void> compare(Batch batch);
-    // The keys to compare for the batch; notes in each check what was known of its job by then.
+    // The comparison for the batch. Stores in each check the cached state of its job at this time.
     state::Txn comparison_of(const Batch& batch);
     static void apply(const state::TxnResult& result, const Batch& batch, bool knew_all_jobs);
 
@@ -49,9 +49,9 @@
     const state::RecordFormat& record_format_;
     JobKnowledge& knowledge_;
     JobRecords& records_;
-    std::deque<PendingCheck> requested_;  // that are part of no comparison yet
+    std::deque<PendingCheck> requested_;  // not yet part of a comparison
     net::Wakeup wakeup_;
-    std::size_t comparisons_under_way_ = 0;
+    std::size_t comparisons_in_progress_ = 0;
     TimePoint last_comparison_{};
     bool running_ = false;
 };
--- a/src/api/job_feasibility.hpp
+++ b/src/api/job_feasibility.hpp
@@ -10,8 +10,8 @@
 
 namespace flintdale::api {
 
-// Why the job can never run, naming the field of the submission; nothing if it can.
-std::optional<std::string> why_never_runs(const model::JobSpec& spec, const config::Settings& settings,
-                                          const std::vector<model::MachineType>& types);
+// Why the job can never run, beginning with the field of the submission; nullopt if it can run.
+std::optional<std::string> infeasibility_reason(const model::JobSpec& spec, const config::Settings& settings,
+                                                const std::vector<model::MachineType>& types);
 
 }  // namespace flintdale::api
--- a/src/api/job_knowledge.hpp
+++ b/src/api/job_knowledge.hpp
@@ -1,5 +1,5 @@
-// What is known of a job without asking the state service: from the cache of what was read, and from the controller's
-// memory. A job only moves forward, so the latest known state counts.
+// Looks jobs up without a request to the state service: in the cache of jobs that were read, and in the controller's
+// memory. A job never returns from an ended state to an open one, so an ended state takes precedence.
 #pragma once
 #include <string>
 
@@ -8,34 +8,35 @@
 
 namespace flintdale::api {
 
-// The result of checking a job. Certain and null: there is no such job.
+// The result of checking a job. If `certain` and `job` is null, the job does not exist.
 struct JobCheck {
     bool certain = false;
-    JobEvidence job;
+    KnownJobPtr job;
 };
 
 class JobKnowledge {
   public:
-    // `capacity`: jobs of which is kept what was read of them.
+    // `capacity`: the number of jobs in the cache.
     JobKnowledge(const JobMemory& memory, std::size_t capacity) : memory_(memory), cache_(capacity) {}
 
-    // What a record says of its job; null if the record is absent, or cannot be read.
-    JobEvidence learn(const std::string& uid, const state::KeyValue& record);
-    JobEvidence learn_cancelled(const std::string& uid, const model::JobSize& size);
+    // Caches the job that a record describes and returns it; null if the record is absent or cannot be read.
+    KnownJobPtr learn(const std::string& uid, const state::KeyValue& record);
+    KnownJobPtr learn_cancelled(const std::string& uid, const model::JobSize& size);
 
-    // That the job was accepted, and whether it is known to be over; null if neither is known.
-    JobEvidence find(const std::string& uid);
-    // What became known while the job was checked, or else the result of that check.
-    JobEvidence newest(const std::string& uid, JobEvidence checked);
-    // The result for a job of which neither key is on record.
-    JobCheck not_on_record(const std::string& uid);
+    // The job as far as it is known; null if it is not known to have been accepted.
+    KnownJobPtr find(const std::string& uid);
+    // `checked`, or the job's ended state if that became known during the check.
+    KnownJobPtr newest(const std::string& uid, KnownJobPtr checked);
+    // The result for a job if neither of its keys exists in the state service.
+    JobCheck result_if_absent(const std::string& uid);
 
     bool knows_all_jobs() const { return memory_.knows_all_jobs(); }
-    // The records were rebuilt: what they say of jobs that are not over has to be read again.
+    // Drops open jobs from the cache, so that their records are read again.
     void invalidate_open_jobs() { cache_.invalidate_open_jobs(); }
 
   private:
-    JobEvidence remembered_as_over(const std::string& uid);
+    // Null if the controller's memory does not have the job as ended.
+    KnownJobPtr find_ended_in_memory(const std::string& uid);
 
     const JobMemory& memory_;
     KnownJobs cache_;
--- a/src/api/job_memory.hpp
+++ b/src/api/job_memory.hpp
@@ -1,5 +1,5 @@
-// What the submission service asks of the rest of the controller: what is remembered of jobs beside the service's own
-// cache of what it has read.
+// The submission service's interface to the jobs that the rest of the controller remembers, beside the service's own
+// cache of the records that it has read.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace flintdale::api {
 
-// Tasks of an open job, for display only.
+// Numbers of tasks of an open job, for display only.
 struct DisplayCount {
     std::uint32_t done = 0, running = 0;
 };
@@ -23,11 +23,11 @@
 class JobMemory {
   public:
     virtual ~JobMemory() = default;
-    // What is remembered of the job, whether or not it is on record in its place; nothing if it is not remembered.
+    // The remembered job, whether or not its records exist in the state service; nullopt if it is not remembered.
     virtual std::optional<RememberedJob> remembered(const std::string& uid) const = 0;
-    // Whether a job that is neither on record nor remembered never was.
+    // Whether a job that is neither in the state service nor remembered was certainly never accepted.
     virtual bool knows_all_jobs() const = 0;
-    // The first record of an open job, which saves reading it; nothing if it has to be read.
+    // The first work record of an open job, which saves a read; nullopt if it has to be read.
     virtual std::optional<state::KeyValue> open_record(const std::string& uid) const = 0;
     virtual DisplayCount display_count(const std::string& uid) const = 0;
 };
--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -11,7 +11,7 @@
 using state::RequestPriority;
 
 namespace {
-constexpr int max_attempts = 3;  // of reading a job that changes meanwhile
+constexpr int max_attempts = 3;  // to read a job whose records change concurrently
 }  // namespace
 
 JobRecords::JobRecords(state::Store& store, const state::RecordFormat& record_format, JobKnowledge& knowledge,
@@ -48,14 +48,15 @@
             found = co_await read_key(uid, std::move(key));
             if (found.outcome != Outcome::ok || found.job) co_return found;
         }
-        // The job may have ended between the two reads, and its work been removed: only both keys at once tell.
+        // The job may have ended between the two reads, and its work record may have been removed. Only one transaction
+        // on both keys proves that neither exists.
         const bool knew_all_jobs = knowledge_.knows_all_jobs();
         auto txn = unless_exists(uid);
         const auto neither = co_await store_.commit(std::move(txn), RequestPriority::user);
         found.outcome = neither.outcome;
         if (neither.outcome == Outcome::conflict) continue;
         if (neither.outcome != Outcome::ok) co_return found;
-        auto check = knowledge_.not_on_record(uid);
+        auto check = knowledge_.result_if_absent(uid);
         found.job = std::move(check.job);
         if (!check.certain || (!found.job && !knew_all_jobs)) found.outcome = Outcome::unknown;
         co_return found;
@@ -70,12 +71,13 @@
     co_return found.job != nullptr;
 }
 
-awaitable<state::Outcome> JobRecords::cancel(std::string uid, JobEvidence job, state::KeyValue record) {
+awaitable<state::Outcome> JobRecords::cancel(std::string uid, KnownJobPtr job, state::KeyValue record) {
     state::KeyValue item;
     item.key = scheduler::outcome_key(uid);
     const auto* fields = record.value.if_object();
     const auto* spec = fields ? fields->if_contains("spec") : nullptr;
-    // With the time, for a leader that comes later: tasks of the job must have ended by the cancel deadline.
+    // The outcome has the time of the cancellation, because a later leader has to stop the job's tasks by the cancel
+    // deadline.
     item.value = scheduler::outcome_record(record_format_, JobState::cancelled, callbacks_.time_of_day_ms(),
                                            spec ? &spec->as_object() : nullptr, job->size);
     state::Txn txn;
--- a/src/api/job_records.hpp
+++ b/src/api/job_records.hpp
@@ -1,4 +1,4 @@
-// Reads single jobs from the state service, and puts cancellations on record.
+// Reads single jobs from the state service, and writes cancellations to it.
 #pragma once
 #include <functional>
 #include <optional>
@@ -18,31 +18,31 @@
   public:
     struct Callbacks {
         std::function<std::int64_t()> time_of_day_ms;
-        // A record of a job was just read or written here: a hint for a leader in this process.
+        // Called after a record of a job was read or written here. A hint for a leader in this process.
         std::function<void(const state::KeyValue&)> record_observed;
     };
     JobRecords(state::Store& store, const state::RecordFormat& record_format, JobKnowledge& knowledge,
                Callbacks callbacks);
 
-    // A transaction that fails if there is such a job.
+    // A transaction without changes yet, which fails if the job exists.
     static state::Txn unless_exists(const std::string& uid);
 
     struct Found {
-        // ok: `job` is certain, and null if there is no such job; otherwise why that could not be found out.
+        // ok: `job` is certain, and null if it does not exist. Any other value: why the read failed.
         state::Outcome outcome = state::Outcome::unknown;
-        JobEvidence job;
+        KnownJobPtr job;
         state::KeyValue record;
     };
-    // Reads the job's outcome, or else the first record of its open work.
+    // Reads the job's outcome; if it has none, its first work record.
     awaitable<Found> read(std::string uid);
-    // Whether the job exists; nothing if that could not be found out.
+    // Whether the job exists; nullopt if the state service gave no usable response.
     awaitable<std::optional<bool>> exists(std::string uid);
-    // Reads one of the job's keys, its outcome or its open work.
+    // Reads one key of the job, of its outcome or of its first work record.
     awaitable<Found> read_key(std::string uid, std::string key);
 
-    // Puts the cancellation of an open job on record, on the condition that it has no outcome. `record`: of its open
-    // work, or an absent one.
-    awaitable<state::Outcome> cancel(std::string uid, JobEvidence job, state::KeyValue record);
+    // Writes the outcome `cancelled` of an open job, on the condition that it has no outcome yet. `record`: its first
+    // work record, or an absent record.
+    awaitable<state::Outcome> cancel(std::string uid, KnownJobPtr job, state::KeyValue record);
 
   private:
     state::Store& store_;
--- a/src/api/known_jobs.cpp
+++ b/src/api/known_jobs.cpp
@@ -15,7 +15,7 @@
         if (const auto* state = fields.if_contains("state"))
             job.state = wire::job_state_from(std::string_view(state->as_string()));
         job.size = wire::size_from_record(fields);
-        if (const auto* spec = fields.if_contains("spec"); spec && !job.over())
+        if (const auto* spec = fields.if_contains("spec"); spec && !job.ended())
             job.dependencies = wire::spec_from_record(spec->as_object()).dependencies;
         return job;
     } catch (const std::exception& e) {
@@ -24,7 +24,7 @@
     }
 }
 
-JobEvidence KnownJobs::find(const std::string& uid) {
+KnownJobPtr KnownJobs::find(const std::string& uid) {
     auto& by_uid = entries_.get<1>();
     const auto it = by_uid.find(uid);
     if (it == by_uid.end()) return nullptr;
@@ -32,17 +32,17 @@
     return it->job;
 }
 
-JobEvidence KnownJobs::learn(const std::string& uid, KnownJob job) {
-    if (auto known = find(uid); known && known->over()) return known;
-    auto evidence = std::make_shared<const KnownJob>(std::move(job));
-    const auto [it, inserted] = entries_.push_front({uid, evidence});
-    if (!inserted) entries_.modify(it, [&](Entry& entry) { entry.job = evidence; });
+KnownJobPtr KnownJobs::learn(const std::string& uid, KnownJob job) {
+    if (auto known = find(uid); known && known->ended()) return known;
+    auto stored = std::make_shared<const KnownJob>(std::move(job));
+    const auto [it, inserted] = entries_.push_front({uid, stored});
+    if (!inserted) entries_.modify(it, [&](Entry& entry) { entry.job = stored; });
     if (entries_.size() > capacity_) entries_.pop_back();
-    return evidence;
+    return stored;
 }
 
 void KnownJobs::invalidate_open_jobs() {
-    entries_.remove_if([](const Entry& entry) { return !entry.job->over(); });
+    entries_.remove_if([](const Entry& entry) { return !entry.job->ended(); });
 }
 
 }  // namespace flintdale::api
--- a/src/api/known_jobs.hpp
+++ b/src/api/known_jobs.hpp
@@ -1,6 +1,6 @@
-// A cache of what this controller has lately read of jobs, so that most checks need no more than a comparison of keys.
-// It evicts the job that was not asked for the longest; what is missing is read again. An entry may be evicted at any
-// time: whoever asks keeps the evidence that the call returned (docs/incidents/cache-emptied-in-use.md).
+// An LRU cache of the jobs that this controller has read, so that most checks need only a comparison of keys. A job
+// that is not in the cache is read again. An entry may be evicted at any time, so a caller keeps the pointer that a
+// call returned instead of relying on a later lookup (docs/incidents/cache-emptied-in-use.md).
 #pragma once
 #include <boost/multi_index/hashed_index.hpp>
 #include <boost/multi_index/member.hpp>
@@ -19,35 +19,35 @@
 struct KnownJob {
     model::JobState state = model::JobState::open;
     model::JobSize size;
-    std::vector<std::string> dependencies;  // of an open job
-    bool over() const { return state != model::JobState::open; }
+    std::vector<std::string> dependencies;  // only of an open job
+    bool ended() const { return state != model::JobState::open; }
 };
-// That a job was accepted, and what was known of it then. It does not change.
-using JobEvidence = std::shared_ptr<const KnownJob>;
+// An immutable snapshot of an accepted job; null if the job is not known.
+using KnownJobPtr = std::shared_ptr<const KnownJob>;
 
-// What a record says of its job; nothing, with a line in the log, if it cannot be read.
+// The job that a record describes; nullopt, with a line in the log, if it cannot be read.
 std::optional<KnownJob> job_from_record(const state::KeyValue& record);
 
 class KnownJobs {
   public:
-    // `capacity`: the number of jobs that are kept.
+    // `capacity`: the largest number of jobs in the cache.
     explicit KnownJobs(std::size_t capacity) : capacity_(capacity) {}
 
     // Null if the job is not in the cache.
-    JobEvidence find(const std::string& uid);
-    // Keeps and returns the newer of this and what is known: answers overtake one another on their way here, and a job
-    // only ever moves forward.
-    JobEvidence learn(const std::string& uid, KnownJob job);
-    // The records were rebuilt: what they say of jobs that are not over has to be read again.
+    KnownJobPtr find(const std::string& uid);
+    // Stores the job and returns it. If the job is cached as ended, returns that and stores nothing: responses may
+    // arrive out of order, and an ended job stays ended.
+    KnownJobPtr learn(const std::string& uid, KnownJob job);
+    // Drops open jobs. Called after the records were rebuilt, so that they are read again.
     void invalidate_open_jobs();
     std::size_t size() const { return entries_.size(); }
 
   private:
     struct Entry {
         std::string uid;
-        JobEvidence job;
+        KnownJobPtr job;
     };
-    // The job that was asked for last comes first.
+    // Most recently used first.
     boost::multi_index_container<
         Entry, boost::multi_index::indexed_by<
                    boost::multi_index::sequenced<>,
--- a/src/api/reply.hpp
+++ b/src/api/reply.hpp
@@ -1,4 +1,4 @@
-// Replies to requests over HTTP, with the bodies of the protocol.
+// Builds HTTP replies to users, with the JSON bodies of the protocol.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -22,7 +22,7 @@
     return make_reply(status, wire::error_body(message));
 }
 
-// 503 with the time after which the client should retry, in whole seconds from 1 to 30.
+// Status 503 with the field Retry-After: `after` rounded up to whole seconds, limited to 1 to 30.
 inline net::Reply retry_later_reply(std::string_view message, model::Seconds after = model::Seconds(1)) {
     auto reply = error_reply(503, message);
     reply.retry_after = static_cast<unsigned>(std::clamp(std::ceil(after.count()), 1.0, 30.0));
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr int max_attempts = 3;  // of cancelling a job that changes meanwhile
-// That a submission waits for its write; users give up after 5 s.
+constexpr int max_attempts = 3;  // to cancel a job whose records change concurrently
+// Longest time that a submission may wait for its write; users time out after 5 s.
 constexpr std::chrono::milliseconds max_write_wait{2000};
-// After which users give up.
+// Request timeouts of the users' clients.
 constexpr std::chrono::seconds poll_timeout{2}, submission_timeout{5};
 
 std::string uid_in(const boost::json::object& body) {
@@ -29,8 +29,8 @@
     return wire::valid_uid(text) ? std::string(text) : std::string();
 }
 
-// The field that makes the records of the job too long.
-std::string too_long_complaint(const model::JobSpec& spec) {
+// Names the field that makes the records of the job too long.
+std::string too_long_reason(const model::JobSpec& spec) {
     std::string_view field = "body";
     if (spec.dependencies.size() > 1) field = "prereqs";
     if (spec.types && spec.types->size() > spec.dependencies.size()) field = "hosttypes";
@@ -62,20 +62,20 @@
         request.spec = wire::parse_submission(fields);
     } catch (const wire::DecodeError& e) {
         request.error_status = 400;
-        request.complaint = e.what();
+        request.rejection_reason = e.what();
     }
     request.spec.accepted_ms = callbacks_.time_of_day_ms();
     const auto* types = callbacks_.machine_types();
-    if (!request.complaint.empty() || !types) return request;
-    if (auto complaint = why_never_runs(request.spec, settings_, *types)) {
+    if (!request.rejection_reason.empty() || !types) return request;
+    if (auto rejection_reason = infeasibility_reason(request.spec, settings_, *types)) {
         request.error_status = 422;
-        request.complaint = std::move(*complaint);
+        request.rejection_reason = std::move(*rejection_reason);
     }
     return request;
 }
 
-// A controller of an older version could not read such a job, or would start it too early.
-std::optional<std::string_view> SubmissionService::why_not_yet(const model::JobSpec& spec) const {
+// A controller of an older version cannot read a job that needs the newest format, or would start it too early.
+std::optional<std::string_view> SubmissionService::retry_later_reason(const model::JobSpec& spec) const {
     if (!record_format_.newest() && !scheduler::readable_by_all(spec, record_format_))
         return "not before all controllers have the new version";
     if (!callbacks_.machine_types()) return "the machine types are not known yet";
@@ -86,25 +86,26 @@
     auto request = parse(body);
     auto& uid = request.uid;
     const auto& spec = request.spec;
-    if (!request.complaint.empty())
-        co_return co_await refuse(std::move(uid), request.error_status, std::move(request.complaint));
+    if (!request.rejection_reason.empty())
+        co_return co_await refuse(std::move(uid), request.error_status, std::move(request.rejection_reason));
     if (knowledge_.find(uid)) co_return co_await current_status(uid, AnswerTo::submission);
-    if (const auto reason = why_not_yet(spec)) {
+    if (const auto reason = retry_later_reason(spec)) {
         auto otherwise = retry_later_reply(*reason);
         co_return co_await status_if_exists(uid, std::move(otherwise));
     }
-    // What would wait too long is refused at once, with the time when it may be accepted.
+    // A submission that would wait too long is rejected at once, with the time after which to retry.
     if (const auto wait = store_.write_wait(); wait > max_write_wait)
         co_return retry_later_reply("too many submissions at once", wait);
     if (!spec.dependencies.empty()) {
         auto result = co_await dependencies_.check_new(spec.dependencies, Clock::now() + submission_timeout);
         if (!result.known) co_return store_unreachable_reply();
-        if (result.complaint) co_return co_await refuse(std::move(uid), 422, std::move(*result.complaint));
+        if (result.rejection_reason)
+            co_return co_await refuse(std::move(uid), 422, std::move(*result.rejection_reason));
     }
     auto records = scheduler::accepted_records(spec, record_format_);
     if (records.empty()) {
-        auto complaint = too_long_complaint(spec);
-        co_return co_await refuse(std::move(uid), 400, std::move(complaint));
+        auto rejection_reason = too_long_reason(spec);
+        co_return co_await refuse(std::move(uid), 400, std::move(rejection_reason));
     }
     co_return co_await accept(std::move(uid), std::move(request.spec), std::move(records));
 }
@@ -126,7 +127,7 @@
         co_return make_reply(201, wire::submission_response(uid, "pending"));
     }
     if (result.outcome == Outcome::refused) co_return retry_later_reply("the state service refuses");
-    // Either it exists, or the answer was lost and it may exist.
+    // Either the job exists already, or the response was lost and the write may have succeeded.
     auto otherwise = store_unreachable_reply();
     co_return co_await status_if_exists(std::move(uid), std::move(otherwise));
 }
@@ -137,9 +138,9 @@
     co_return otherwise;
 }
 
-// A job once accepted stays accepted, whatever a repetition of its submission says.
-awaitable<Reply> SubmissionService::refuse(std::string uid, unsigned status, std::string complaint) {
-    auto refusal = error_reply(status, complaint);
+// An accepted job stays accepted, even if a repeated submission is invalid or differs.
+awaitable<Reply> SubmissionService::refuse(std::string uid, unsigned status, std::string rejection_reason) {
+    auto refusal = error_reply(status, rejection_reason);
     if (uid.empty()) co_return refusal;
     const auto exists = co_await records_.exists(uid);
     if (!exists) co_return store_unreachable_reply();
@@ -156,17 +157,17 @@
 
 awaitable<Reply> SubmissionService::current_status(std::string uid, AnswerTo answer_to) {
     const auto timeout = answer_to == AnswerTo::submission ? submission_timeout : poll_timeout;
-    const auto check = co_await dependencies_.current(uid, Clock::now() + timeout);
-    // A repeated submission is never told that an accepted job does not exist.
+    const auto check = co_await dependencies_.check_current(uid, Clock::now() + timeout);
+    // The reply to a repeated submission never says that an accepted job does not exist.
     if (!check.certain || (!check.job && answer_to == AnswerTo::submission)) co_return store_unreachable_reply();
     if (!check.job) co_return error_reply(404, "no such job");
     co_return status_reply(uid, check.job, answer_to);
 }
 
-// By the evidence of the check, or what is known beyond it by now.
-Reply SubmissionService::status_reply(const std::string& uid, JobEvidence job, AnswerTo answer_to) {
+// Reports the result of the check, or a newer state that became known since.
+Reply SubmissionService::status_reply(const std::string& uid, KnownJobPtr job, AnswerTo answer_to) {
     job = knowledge_.newest(uid, std::move(job));
-    const auto count = job->over() ? DisplayCount{} : memory_.display_count(uid);
+    const auto count = job->ended() ? DisplayCount{} : memory_.display_count(uid);
     std::string_view status = count.running > 0 ? "running" : "pending";
     if (job->state == JobState::done) status = "done";
     if (job->state == JobState::cancelled) {
@@ -186,16 +187,16 @@
     for (int attempt = 0; attempt < max_attempts; ++attempt) {
         auto job = knowledge_.find(uid);
         state::KeyValue record;
-        // A job that is known to be open need not be read first, except where the record's oldest format holds the
-        // submission, or where the last attempt shows that the job may be over.
-        if (!job || (!job->over() && must_read)) {
+        // An open job in the cache is cancelled without a read, with two exceptions: an outcome in the oldest record
+        // format contains the submission, and after a failed attempt the job may have ended.
+        if (!job || (!job->ended() && must_read)) {
             auto found = co_await records_.read(uid);
             if (found.outcome != Outcome::ok) break;
             if (!found.job) co_return error_reply(404, "no such job");
             job = std::move(found.job);
             record = std::move(found.record);
         }
-        if (job->over()) co_return status_reply(uid, job, AnswerTo::submission);
+        if (job->ended()) co_return status_reply(uid, job, AnswerTo::submission);
         const auto outcome = co_await records_.cancel(uid, job, std::move(record));
         if (outcome == Outcome::ok) co_return status_reply(uid, job, AnswerTo::submission);
         if (outcome == Outcome::refused) break;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 
-constexpr std::size_t kept_connections = 4;
-constexpr double interval_margin = 1.15;              // times the interval that the limit allows
-constexpr std::chrono::milliseconds max_delay{1500};  // of a request after its turn
+constexpr std::size_t max_idle_connections = 4;
+constexpr double interval_margin = 1.15;              // factor on the shortest interval that the limit allows
+constexpr std::chrono::milliseconds max_delay{1500};  // from a request's turn until it is sent
 constexpr std::chrono::seconds request_limit{5};
 
 }  // namespace
 
 HttpCloud::HttpCloud(net::Executor ex, const config::Settings& settings)
-    : http_(ex, settings.cloud.host, settings.cloud.port, kept_connections),
+    : http_(ex, settings.cloud.host, settings.cloud.port, max_idle_connections),
       interval_(model::to_clock(model::Seconds(interval_margin / settings.cloud_requests_per_s))) {}
 
 awaitable<net::HttpAnswer> HttpCloud::call(net::http::verb verb, std::string target, std::string body) {
-    // Evenly spaced, which keeps any window within the limit without counting on the burst.
+    // Requests are evenly spaced. This keeps every time window within the limit, without use of the burst allowance.
     const auto now = Clock::now();
     const auto turn = std::max(now, next_turn_);
     next_turn_ = turn + interval_;
     if (turn > now) co_await net::sleep_for(turn - now);
-    // The process has paused meanwhile, and what the caller checked before may no longer hold.
+    // The process has paused, and the conditions that the caller checked may no longer hold.
     if (Clock::now() - turn > max_delay) co_return net::HttpAnswer{};
     co_return co_await http_.request(verb, std::move(target), std::move(body), request_limit);
 }
@@ -64,10 +64,10 @@
     }
 }
 
-awaitable<LaunchResult> HttpCloud::launch(std::string request, std::string type, std::string zone, bool spot,
+awaitable<LaunchResult> HttpCloud::launch(std::string request_id, std::string type, std::string zone, bool spot,
                                           int count) {
     std::string target = "/machines";
-    auto body = wire::launch_body(request, type, zone, spot, count);
+    auto body = wire::launch_body(request_id, type, zone, spot, count);
     auto answer = co_await call(net::http::verb::post, std::move(target), std::move(body));
     LaunchResult r;
     if (answer.status == 200) {
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,5 +1,5 @@
-// The cloud's interface (catalogue, list of machines, launch and termination) and its client over HTTP, within the
-// published request limit.
+// The cloud's interface (catalogue, list of machines, launch and termination) and its HTTP client, which keeps to the
+// cloud's published request limit.
 #pragma once
 #include "config/settings.hpp"
 #include "model/clock.hpp"
@@ -11,45 +11,46 @@
 
 using net::awaitable;
 
-// How a request to launch machines ended.
+// The result of a request to launch machines.
 enum class LaunchOutcome : std::uint8_t {
     granted,
-    no_capacity,  // the cloud has none of that type and zone now
+    no_capacity,  // the cloud has no machine of this type in this zone now
     malformed,    // the cloud never accepts this request
-    unknown,      // no usable answer: the request may have been carried out
+    unknown,      // no usable response: the request may have been carried out
 };
 
 struct LaunchResult {
     LaunchOutcome outcome = LaunchOutcome::unknown;
-    std::vector<std::string> machines;  // granted: their names
+    std::vector<std::string> machines;  // names of the launched machines, if granted
 };
 
-// The operations of the cloud. None throws because of the cloud or the network.
+// The operations of the cloud. None throws on errors of the cloud or the network.
 class Cloud {
   public:
     virtual ~Cloud() = default;
 
-    // The machine types that the cloud offers; nothing without a usable answer.
+    // The machine types that the cloud offers; nullopt without a usable response.
     virtual awaitable<std::optional<std::vector<model::MachineType>>> catalog() = 0;
 
-    // All machines of this deployment, in a list that lags behind; nothing without a usable answer to each page.
+    // All machines of this deployment. The list lags behind (Settings::machine_list_lag). nullopt unless every page has
+    // a usable response.
     virtual awaitable<std::optional<std::vector<model::ListedMachine>>> machines() = 0;
 
-    // Launches `count` machines. `request`: an id under which the cloud carries the request out at most once.
-    virtual awaitable<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+    // Launches `count` machines. `request_id`: an idempotency key; the cloud carries out each request id at most once.
+    virtual awaitable<LaunchResult> launch(std::string request_id, std::string type, std::string zone, bool spot,
                                            int count) = 0;
 
-    // Terminates machines, by name; true if the cloud confirms it.
+    // Terminates the named machines; true if the cloud confirms it.
     virtual awaitable<bool> terminate(std::vector<std::string> names) = 0;
 };
 
-// The cloud over HTTP. A request that could not be sent within a second and a half after its turn is not sent at all.
+// The cloud over HTTP. A request that cannot be sent within 1.5 s after its turn is dropped, without a usable response.
 class HttpCloud : public Cloud {
   public:
     HttpCloud(net::Executor ex, const config::Settings& settings);
     awaitable<std::optional<std::vector<model::MachineType>>> catalog() override;
     awaitable<std::optional<std::vector<model::ListedMachine>>> machines() override;
-    awaitable<LaunchResult> launch(std::string request, std::string type, std::string zone, bool spot,
+    awaitable<LaunchResult> launch(std::string request_id, std::string type, std::string zone, bool spot,
                                    int count) override;
     awaitable<bool> terminate(std::vector<std::string> names) override;
 
@@ -58,7 +59,7 @@
 
     net::HttpClient http_;
     model::Clock::duration interval_;       // between two requests
-    model::Clock::time_point next_turn_{};  // of the next request
+    model::Clock::time_point next_turn_{};  // earliest time of the next request
 };
 
 }  // namespace flintdale::cloud
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,4 +1,4 @@
-// The error of all readers of settings.
+// The exception that the readers of settings throw.
 #pragma once
 #include <stdexcept>
 
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -15,17 +15,17 @@
 namespace property_tree = boost::property_tree;
 using model::Seconds;
 
-// A member of OperatorSettings that a key sets: a duration in seconds, a number, a switch (0 or 1) or a path.
+// The member of OperatorSettings that a key sets: a duration in seconds, a number, a boolean (0 or 1) or a path.
 using Target = std::variant<Seconds OperatorSettings::*, double OperatorSettings::*, bool OperatorSettings::*,
                             std::string OperatorSettings::*>;
 
 struct Key {
     std::string_view path;  // SECTION.KEY
     Target target;
-    double min = 0, max = 0;  // of numbers
+    double min = 0, max = 0;  // allowed range, for numbers
 };
 
-// By path, the order in which errors list them.
+// Sorted by path, the order in which errors list them.
 constexpr Key known_keys[] = {
     {"api.known_jobs", &OperatorSettings::job_cache_size, 1, 10'000'000},
     {"election.lease_s", &OperatorSettings::election_lease, 0.5, 60},
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-// A limit that is not named keeps its present value, if there are present limits; otherwise all are required.
+// A limit that is missing keeps its value in `present`. Without `present` all limits are required.
 StoreLimits parse_store_limits(const TomlFields& fields, const StoreLimits* present) {
     const auto amount = [&](const char* key, double present_value, double min) {
         return fields.amount(key, present ? std::optional(present_value) : std::nullopt, min);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,6 @@
-// The settings that the platform gives a controller (TOML): who it is, the cluster, and the limits of the services that
-// it uses. The operators' settings are in operator_settings.hpp. Nothing changes while a controller runs.
+// The settings that the platform gives a controller (TOML file): its identity, the cluster, and the limits of the
+// services that it uses. The operators' settings are in operator_settings.hpp. Settings do not change while a
+// controller runs.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -19,7 +20,7 @@
     std::uint16_t port = 0;
 };
 
-// ADDRESS:PORT. Throws ConfigError, which names `field`.
+// Parses ADDRESS:PORT. Throws ConfigError with `field` in its message.
 Address parse_address(const std::string& text, const std::string& field);
 
 // Another controller of the cluster.
@@ -28,7 +29,7 @@
     Address addr;  // for peer messages
 };
 
-// A team's guarantees and quotas, in CPUs and accelerators. 0 means none, for both.
+// A team's guarantees and limits, in CPUs and accelerators. 0: no guarantee, or no limit.
 struct Team {
     std::string name;
     double cpus = 0, cpus_limit = 0, gpus = 0, gpus_limit = 0;
@@ -41,12 +42,12 @@
     double share = 0;  // of the class's jobs, from 0 to 1
 };
 
-// What the store accepts.
+// The limits of the store.
 struct StoreLimits {
-    double rps = 50;                      // requests a second
-    double write_rps = 20;                // changes a second
-    std::size_t value_bytes = 16 * 1024;  // bytes a value
-    std::size_t txn_ops = 12;             // changes a transaction
+    double rps = 50;                      // requests per second
+    double write_rps = 20;                // changes per second
+    std::size_t value_bytes = 16 * 1024;  // bytes per value
+    std::size_t txn_ops = 12;             // changes per transaction
 };
 
 struct Settings {
@@ -56,34 +57,34 @@
     Address listen;       // for users and workers
     Address peer_listen;  // for peers
     std::vector<Peer> peers;
-    Address cloud, state;  // the services it uses
+    Address cloud, state;  // the cloud and the state service
 
     // The cluster.
-    std::size_t controllers = 1;  // this one included
+    std::size_t controllers = 1;  // including this one
     std::vector<std::string> zones;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
 
     // Workers.
     Seconds heartbeat_interval{3};
-    Seconds worker_lease{30};           // a worker kills its tasks this long after its last answered heartbeat was sent
-    Seconds gang_barrier_timeout{30};   // a gang member stops if the gang is not complete after this time
-    Seconds gang_failure_detection{4};  // a gang member notices within this time that another one is gone
-    Seconds cancel_deadline{60};        // no task runs this long after its job's cancellation was acknowledged
+    Seconds worker_lease{30};  // from the sending of a worker's last answered heartbeat until it kills its tasks
+    Seconds gang_barrier_timeout{30};   // time after which a gang member stops if the gang is not complete
+    Seconds gang_failure_detection{4};  // time within which a gang member notices the loss of another one
+    Seconds cancel_deadline{60};  // time after an acknowledged cancellation by which all tasks of the job have ended
 
     // Limits of the services and of this process.
     StoreLimits store_limits;
-    std::optional<StoreLimits> next_store_limits;  // come into force some time after an upgrade, without notice
+    std::optional<StoreLimits> next_store_limits;  // take effect some time after an upgrade, without notice
     double cloud_requests_per_s = 4;
-    Seconds machine_list_lag{5};  // how far the cloud's list of machines lags behind
+    Seconds machine_list_lag{5};  // longest time that the cloud's list of machines lags behind
     std::size_t max_sockets = 1000;
-    double cpu_share = 0;  // of a core, that this process may use; 0: not told
+    double cpu_share = 0;  // share of a core that this process may use; 0: not known
 
     // Null if there is no such team.
     const Team* team(const std::string& name) const;
 };
 
-// Both throw ConfigError. `name`: of the file, for errors.
+// Both throw ConfigError. `name`: the file name in error messages.
 Settings load_settings(const std::string& path);
 Settings parse_settings(const std::string& text, const std::string& name);
 
--- a/src/config/toml_fields.hpp
+++ b/src/config/toml_fields.hpp
@@ -1,4 +1,4 @@
-// Reads the fields of one TOML table. For the reader of the platform's settings only.
+// Typed access to the fields of one TOML table. For the reader of the platform's settings only.
 #pragma once
 #include <toml++/toml.h>
 
@@ -10,13 +10,13 @@
 
 namespace flintdale::config {
 
-// Each reader throws a ConfigError that names the full path of the field and what was expected.
+// Throws ConfigError with the full path of the field and the expected type if a field is missing or invalid.
 class TomlFields {
   public:
-    // `path`: of the table; empty for the root. The table must outlive the object.
+    // `path`: path of the table in error messages; empty for the root. The table must outlive the object.
     TomlFields(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
 
-    // A string that is not empty.
+    // A non-empty string.
     std::string text(const char* key) const;
 
     // A finite number of at least `min`. Without a default the field is required.
@@ -32,10 +32,10 @@
 
     bool has(const char* key) const { return table_.get(key) != nullptr; }
 
-    // A table that is required.
+    // A required table.
     TomlFields section(const char* key) const;
 
-    // Nothing if the field is missing or no table.
+    // nullopt if the field is missing or not a table.
     std::optional<TomlFields> optional_section(const char* key) const;
 
     // The tables of a list; empty if the field is missing.
--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -1,4 +1,4 @@
-// The parts of Asio and Beast that the packages share, under short names.
+// Short names for the parts of Asio and Beast that the packages share, and coroutine helpers on model::Clock.
 #pragma once
 #include <boost/asio.hpp>
 #include <boost/asio/experimental/as_tuple.hpp>
@@ -18,10 +18,10 @@
 using asio::awaitable;
 using Executor = asio::any_io_executor;
 
-// Makes timers go by model::Clock. In simulated time the reactor must not sleep: it checks its timers whenever it is
-// polled.
+// Makes timers use model::Clock. In simulated time the reactor must not sleep, so the wait duration is always 0 and the
+// reactor checks its timers whenever it is polled.
 struct WaitTraits {
-    // How long until the earliest timer of the reactor that asked last.
+    // Time until the earliest timer of the reactor that was polled last in this thread, in simulated time.
     static inline thread_local model::Clock::duration earliest{};
     static model::Clock::duration to_wait_duration(const model::Clock::duration& d) {
         if (!model::Clock::simulated) return d;
@@ -32,10 +32,10 @@
         return to_wait_duration(t - model::Clock::now());
     }
 };
-// A timer that goes by model::Clock.
+// A timer on model::Clock.
 using Timer = asio::basic_waitable_timer<model::Clock, WaitTraits>;
 
-// Completion token: the coroutine gets the error code as a result instead of an exception.
+// Completion token: the coroutine gets a tuple with the error code instead of an exception.
 inline constexpr auto use_nothrow_awaitable = asio::experimental::as_tuple(asio::use_awaitable);
 
 // Waits for the duration; false if the wait was cancelled.
@@ -47,7 +47,7 @@
     co_return !ec;
 }
 
-// Wakes one waiting coroutine early. A notification that comes while none waits is kept for the next wait.
+// Resumes one waiting coroutine. A notification while no coroutine waits ends the next wait at once.
 class Wakeup {
   public:
     explicit Wakeup(Executor ex) : timer_(ex) {}
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -6,7 +6,7 @@
 
 constexpr unsigned http_1_1 = 11;
 constexpr std::chrono::seconds max_idle_time{20};
-constexpr std::size_t max_answer = 64 * 1024 * 1024;  // bytes; the answer to a watch has no limit of its own
+constexpr std::size_t max_response = 64 * 1024 * 1024;  // bytes; the state service does not limit responses to a watch
 
 }  // namespace
 
@@ -69,7 +69,7 @@
     if (wec) co_return wec == beast::error::timeout ? Exchange::failed : Exchange::connection_lost;
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(max_answer);
+    parser.body_limit(max_response);
     auto [rec, read] = co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
     answer.bytes_received += read;
     if (rec) {
@@ -99,8 +99,8 @@
         auto message = make_message(verb, target, body);
         const auto result = co_await exchange(*stream, std::move(message), deadline, answer);
         if (result == Exchange::answered_keep) keep(std::move(stream));
-        // A kept connection that the other end had closed meanwhile says nothing about the service. Only a read may be
-        // repeated: anything else could be carried out twice.
+        // A kept connection that the server has closed does not mean that the service is down. Only a read is retried,
+        // because any other request could be carried out twice.
         const bool retry = result == Exchange::connection_lost && reused && verb == http::verb::get;
         if (!retry) co_return answer;
         stream.reset();
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 client for one address, with kept connections and a time limit on each request.
+// An HTTP/1.1 client for one address, with keep-alive connections and a time limit on each request.
 #pragma once
 #include <memory>
 #include <string>
@@ -10,21 +10,21 @@
 namespace flintdale::net {
 
 struct HttpAnswer {
-    unsigned status = 0;  // 0: no answer; the request may or may not have been carried out
+    unsigned status = 0;  // 0: no response; the request may or may not have been carried out
     std::string body;
-    bool never_sent = false;  // with status 0: there was no connection, so that nothing was sent
+    bool never_sent = false;  // with status 0: no connection could be made, so nothing was sent
     std::size_t bytes_sent = 0, bytes_received = 0;
 };
 
 // The object must outlive its requests.
 class HttpClient {
   public:
-    // `max_idle`: connections kept for later requests. `source`: the local address that connections are made from;
-    // empty: whichever the system chooses. Throws if `host` is no IP address.
+    // `max_idle`: number of idle connections kept for later requests. `source`: local address of the connections;
+    // empty: chosen by the system. Throws boost::system::system_error if `host` is not an IP address.
     HttpClient(Executor ex, std::string host, std::uint16_t port, std::size_t max_idle = 8, std::string source = {});
 
-    // Sends a request and returns the answer, with status 0 if there is none within the limit. Only a GET may be sent
-    // twice, over a kept connection that turns out to be closed.
+    // Sends a request and returns the response, with status 0 if there is none within the limit. Only a GET may be sent
+    // twice, if the server has closed the kept connection that it was first sent on.
     awaitable<HttpAnswer> request(http::verb verb, std::string target, std::string body, model::Clock::duration limit);
 
   private:
@@ -36,15 +36,15 @@
         std::unique_ptr<Stream> stream;
         TimePoint since;
     };
-    // How one attempt to get an answer over a connection ended.
+    // The result of one request on a connection.
     enum class Exchange : std::uint8_t {
         answered,         // the connection cannot be used again
-        answered_keep,    // it can
-        connection_lost,  // the other end had closed it
+        answered_keep,    // the connection can be used again
+        connection_lost,  // the server has closed the connection
         failed,
     };
 
-    // Null if there is no connection within the limit.
+    // Null if no connection is made within the limit.
     awaitable<std::unique_ptr<Stream>> connect(model::Clock::duration limit);
     // The kept connection used last, if it is recent enough; otherwise null.
     std::unique_ptr<Stream> take_idle();
@@ -54,7 +54,7 @@
 
     Executor ex_;
     tcp::endpoint endpoint_;
-    std::string host_;  // the header field
+    std::string host_;  // value of the header field Host
     std::size_t max_idle_;
     std::string source_;
     std::vector<IdleConnection> idle_;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -12,8 +12,8 @@
 constexpr int backlog = 1024;
 constexpr std::size_t body_limit = 64 * 1024;      // bytes
 constexpr std::uint32_t header_limit = 16 * 1024;  // bytes
-constexpr std::chrono::seconds idle_limit{120};    // until a request begins
-constexpr std::chrono::seconds request_limit{10};  // from its first byte to its last
+constexpr std::chrono::seconds idle_limit{120};    // from a connection's last response to the next request
+constexpr std::chrono::seconds request_limit{10};  // from a request's first byte to its last
 constexpr std::chrono::seconds write_limit{10};
 constexpr std::chrono::milliseconds accept_retry_delay{50};
 
@@ -52,12 +52,12 @@
         auto [ec, socket] = co_await acceptor_.async_accept(use_nothrow_awaitable);
         if (!acceptor_.is_open()) co_return;
         if (ec) {
-            // Out of sockets, most likely: wait for some to close instead of spinning.
+            // Usually the process is out of file descriptors. Waiting for some to close avoids a busy loop.
             spdlog::debug("event=accept_failed why=\"{}\"", ec.message());
             co_await sleep_for(accept_retry_delay);
             continue;
         }
-        if (connections_ >= max_connections_) continue;  // closed at once
+        if (connections_ >= max_connections_) continue;  // the socket's destructor closes it
         asio::co_spawn(ex_, session(std::move(socket)), asio::detached);
     }
 }
@@ -79,7 +79,7 @@
                                                            Parser& parser) {
     stream.expires_after(idle_limit);
     if (buffer.size() == 0) {
-        // Wait for the first byte under the long limit, for the rest under the short one: a client that sends its
+        // The long limit applies to the first byte and the short one to the rest, so that a client that sends its
         // request byte by byte occupies a session for seconds, not minutes.
         auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, use_nothrow_awaitable);
         if (wec) co_return ReadResult::connection_ended;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -16,11 +16,11 @@
 struct Reply {
     unsigned status = 200;
     std::string body;          // JSON
-    unsigned retry_after = 0;  // seconds, for the header field; 0: without it
-    std::string allow;         // the header field of status 405; empty: without it
+    unsigned retry_after = 0;  // header field Retry-After, in seconds; 0: no such field
+    std::string allow;         // header field Allow, for status 405; empty: no such field
 };
 
-// What a server has received and sent since it began.
+// Counters of a server since its start.
 struct Traffic {
     std::uint64_t requests = 0, bytes_in = 0, bytes_out = 0;
 };
@@ -30,13 +30,13 @@
     // Answers one request. If it throws, the answer is status 503.
     using Handler = std::function<awaitable<Reply>(Request)>;
 
-    // Binds the address; throws std::runtime_error if it cannot. Connections above the limit are closed at once.
+    // Binds the address; throws std::runtime_error if that fails. Connections above the limit are closed at once.
     HttpServer(Executor ex, std::string host, std::uint16_t port, std::size_t max_connections, Handler handler);
 
     // Starts to accept connections.
     void start();
 
-    // Accepts nothing more. Open connections stay open, and the server must outlive them.
+    // Stops accepting connections. Open connections stay open, and the server must outlive them.
     void stop();
 
     const Traffic& traffic() const { return traffic_; }
@@ -48,10 +48,10 @@
 
     awaitable<void> accept_loop();
     awaitable<void> session(tcp::socket socket);
-    // Answers the requests of one connection until it ends.
+    // Serves the requests of one connection until it ends.
     awaitable<void> serve(beast::tcp_stream& stream);
     awaitable<ReadResult> read_request(beast::tcp_stream& stream, beast::flat_buffer& buffer, Parser& parser);
-    // Answers status 400 and ends the connection.
+    // Replies with status 400 and closes the sending side of the connection.
     awaitable<void> reject(beast::tcp_stream& stream, ReadResult reason);
     awaitable<Reply> handle(Request request);
 
--- a/src/peer/cancellations.hpp
+++ b/src/peer/cancellations.hpp
@@ -1,15 +1,15 @@
-// Exchange of cancellations between the controllers, and until when a leader may rely on it while the store is away.
+// Exchange of cancellations between controllers. It lets a leader renew worker leases while the store does not respond.
 //
-// A leader renews leases only while what it knows of cancellations is recent enough (scheduler/lease_rule.hpp). Only
-// controllers tell users that a job is cancelled. So once every other controller has reported, after this one asked,
-// all cancellations that it has acknowledged to users, this one knows all that were acknowledged until it asked,
-// whatever the store does. Nothing depends on such a report arriving: without it, the age counts from the last reading
-// of the records.
+// A leader renews leases only while its knowledge of cancellations is recent enough (scheduler/lease_rule.hpp). Users
+// get the acknowledgement of a cancellation only from controllers. Each message to a peer is therefore a query. Once
+// all peers have responded with the cancellations that they acknowledged, this controller knows every cancellation that
+// was acknowledged before it sent the query. If a response is missing, the age counts from the last read of the
+// records.
 //
-// Each message has a number within its sender's incarnation and names the newest message received from each peer. So it
-// answers that message, however late it arrives: what the peer had acknowledged before it received that message is in
-// the list, for the list is made afterwards. An incarnation that began after the last reading of the records proves
-// nothing, for the one before it may have acknowledged what no other controller knows.
+// Each message has a number within its sender's incarnation, and names the newest message received from each peer. It
+// responds to these messages, even if it arrives late: its list was made after they were received. A peer incarnation
+// that started after the last read of the records proves nothing, because the previous one may have acknowledged
+// cancellations that no other controller knows.
 #pragma once
 #include <deque>
 #include <map>
@@ -22,53 +22,55 @@
 
 namespace flintdale::peer {
 
-// The part of a status message on cancellations.
+// The part of a status message that reports cancellations.
 struct CancellationReport {
-    // A message of a peer, by its number in that incarnation.
+    // Identifies a message of a peer by its number within the peer's incarnation.
     struct ReceivedMessage {
         std::string member;
         std::uint64_t incarnation = 0, number = 0;
     };
-    std::uint64_t number = 0;  // of this message in its sender's incarnation, from 1; 0: a version that does not count
+    std::uint64_t number = 0;  // of this message in its sender's incarnation, from 1; 0: an old version without numbers
     std::vector<ReceivedMessage> received;  // the newest message of each peer
-    std::vector<std::string> recent;        // uids that the sender learned to be cancelled in the last span()
-    bool complete = false;                  // the sender acknowledged no other cancellation in that time
+    // uids of jobs whose cancellation the sender learned in the last reporting_period()
+    std::vector<std::string> recent;
+    bool complete = false;  // `recent` has every cancellation that the sender acknowledged in that period
 };
 
-// Pure: the caller tells the time, and sends and receives.
+// Does no input or output and reads no clock: the caller passes the time, and sends and receives the messages.
 class Cancellations {
   public:
     // `settings` must outlive the object.
     explicit Cancellations(const config::Settings& settings);
 
-    // A job is known to be cancelled: its outcome was read, a peer reported it, or it is about to be acknowledged to a
-    // user. False if that was known before.
+    // Records that a job is cancelled: its outcome was read, a peer reported it, or the cancellation is about to be
+    // acknowledged to a user. False if it was recorded before.
     bool note(const std::string& uid, model::TimePoint now);
     bool knows(const std::string& uid) const { return known_.contains(uid); }
 
-    // The report for a message to the peers, which must be sent after this call.
+    // Makes the report for the next message to the peers. Call it directly before that message is sent.
     CancellationReport make_report(model::TimePoint now);
 
-    // A report has arrived from that incarnation of a peer. The caller has noted the cancellations that it names.
+    // Handles a report from this incarnation of a peer. The caller has called note() for the cancellations in it.
     void report_received(const std::string& member, std::uint64_t incarnation, std::uint64_t own_incarnation,
                          const CancellationReport& report, model::TimePoint now);
 
-    // The time until which all cancellations that any controller acknowledged to users are noted here, provided that
-    // all that was on record at `records_read` is known. Never before `records_read`.
+    // The latest time such that every cancellation acknowledged to users before it is recorded here. The records must
+    // have been read at `records_read`; the result is never earlier than that.
     model::TimePoint all_known_until(model::TimePoint records_read, model::TimePoint now) const;
 
-    // Whether the peer is known to have received all that was noted here until then.
+    // Whether the peer is known to have received all cancellations recorded here up to `noted`.
     bool has_received(const std::string& member, model::TimePoint noted) const;
 
-    // How long a peer names a cancellation after it learned of it.
-    model::Clock::duration span() const;
+    // How long a controller reports a cancellation after it learned of it.
+    model::Clock::duration reporting_period() const;
 
   private:
     struct Peer {
         std::uint64_t incarnation = 0, number = 0;  // of the newest message received from it
         model::TimePoint incarnation_since{};       // when the first message of that incarnation arrived
-        model::TimePoint answers{};  // when the newest own message was made that the peer is known to have received
-        bool complete = false;       // its newest report is
+        // When the newest own message was made that the peer is known to have received.
+        model::TimePoint acknowledged{};
+        bool complete = false;  // whether its newest report is complete
     };
     struct Cancellation {
         model::TimePoint noted;
@@ -79,13 +81,13 @@
         model::TimePoint made;
     };
     void expire(model::TimePoint now);
-    // When the own message with this number was made; the earliest time if that is not remembered any more.
-    model::TimePoint made_at(std::uint64_t number) const;
+    // When this controller's message with this number was made; the earliest TimePoint if it is no longer in sent_.
+    model::TimePoint creation_time(std::uint64_t number) const;
 
     const config::Settings& settings_;
     std::unordered_map<std::string, model::TimePoint> known_;  // when each was noted
-    std::deque<Cancellation> recent_;                          // by time; named to the peers
-    std::deque<Cancellation> expiring_;                        // no longer named, still known
+    std::deque<Cancellation> recent_;                          // by time; reported to the peers
+    std::deque<Cancellation> expiring_;                        // no longer reported, still in known_
     std::deque<SentMessage> sent_;                             // by number
     std::map<std::string, Peer> peers_;
     std::uint64_t number_ = 0;  // of the last message
--- a/src/peer/capnp_message.hpp
+++ b/src/peer/capnp_message.hpp
@@ -1,4 +1,4 @@
-// Cap'n Proto messages to bytes and back, for the codecs of this package only.
+// Converts Cap'n Proto messages to bytes and back. For the codecs of this package only.
 #pragma once
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -18,11 +18,11 @@
     return std::string(reinterpret_cast<const char*>(bytes.begin()), bytes.size());
 }
 
-// Calls `read` with the root of the message and returns its result. Throws std::runtime_error if the bytes are no such
-// message.
+// Calls `read` with the root of the message and returns its result. Throws std::runtime_error if the bytes are not a
+// valid message.
 template <class Root, class Read>
 auto from_bytes(const std::string& bytes, Read read) {
-    // A copy, because the bytes need not be aligned as words.
+    // Copied because the bytes need not be aligned to words.
     std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
     std::memcpy(words.data(), bytes.data(), words.size() * sizeof(capnp::word));
     try {
--- a/src/peer/heartbeat_relay.cpp
+++ b/src/peer/heartbeat_relay.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// A worker waits for four seconds, and its response needs time for the way back.
+// A worker waits four seconds for its response; the difference allows for the transmission to the worker.
 constexpr auto response_timeout = 3400ms;
-// Remembered for each of the workers that may be connected at a time.
+// Limits the cache to a multiple of max_sockets, the largest number of connected workers.
 constexpr std::size_t cached_heartbeats_per_socket = 2;
 
-bool equal_but_for_sequence(const model::Heartbeat& a, model::Heartbeat b) {
+bool equal_except_sequence(const model::Heartbeat& a, model::Heartbeat b) {
     b.sequence = a.sequence;
     return a == b;
 }
@@ -28,8 +28,8 @@
 
 void HeartbeatRelay::set_leader(const std::optional<Leader>& leader) {
     if (leader != leader_) {
-        // Another leader, or the same one in another term, has decided on nothing that was sent before.
-        forget_sent();
+        // A new leader, or the same one in a new term, has not handled the heartbeats that were sent before.
+        reset_sent_state();
         leader_ = leader;
         if (leader_) outbox_->address(settings_.member, incarnation_, leader_->incarnation);
     }
@@ -38,10 +38,10 @@
 
 void HeartbeatRelay::link_lost(const std::string& member) {
     if (!leader_ || leader_->member != member) return;
-    forget_sent();
+    reset_sent_state();
 }
 
-void HeartbeatRelay::forget_sent() {
+void HeartbeatRelay::reset_sent_state() {
     cached_by_leader_.clear();
     for (auto& [number, pending] : pending_) pending->sent = false;
 }
@@ -61,12 +61,12 @@
 void HeartbeatRelay::send(std::uint64_t number, PendingHeartbeat& pending) {
     pending.sent = true;
     auto& cached = cached_by_leader(pending.heartbeat.machine);
-    if (cached.heartbeat && equal_but_for_sequence(*cached.heartbeat, pending.heartbeat)) {
+    if (cached.heartbeat && equal_except_sequence(*cached.heartbeat, pending.heartbeat)) {
         pending.original = cached.original;
         outbox_->add(RepeatedHeartbeat{number, cached.handle, pending.heartbeat.sequence, cached.original});
         return;
     }
-    // Not repeated before the leader is known to have this one.
+    // Later heartbeats are sent in full until the leader has responded to this one.
     cached.heartbeat.reset();
     pending.original = number;
     outbox_->add(RelayedHeartbeat{number, cached.handle, pending.heartbeat});
@@ -100,11 +100,11 @@
         send(answer.number, pending);
         return;
     }
-    // The leader may have won another term since its last status message.
+    // The leader may have been elected for a newer term since its last status message.
     const bool current = answer.fencing_token >= leader_->term && answer.fencing_token >= newest_term;
     if (answer.outcome == RelayOutcome::answered && current) {
-        // Another heartbeat of this worker, a delayed copy perhaps, may have been sent meanwhile. Therefore a repeated
-        // heartbeat names the one that it repeats.
+        // Another heartbeat of this worker, such as a delayed copy, may have been sent since. So a repeated heartbeat
+        // carries the number of the full heartbeat that it repeats.
         auto& cached = cached_by_leader(pending.heartbeat.machine);
         cached.original = pending.original;
         cached.heartbeat = pending.heartbeat;
--- a/src/peer/heartbeat_relay.hpp
+++ b/src/peer/heartbeat_relay.hpp
@@ -1,9 +1,8 @@
-// Forwards workers' heartbeats to the leader and its responses back, at a controller that does not lead. It decides
-// nothing: the leader has decided on a worker's response on this very heartbeat. docs/design.md, Relays, says why no
-// rule breaks.
+// Forwards workers' heartbeats from a follower to the leader, and the leader's responses back. The relay decides
+// nothing: each response is the leader's response to the same heartbeat (see docs/design.md, Relays).
 //
-// A heartbeat waits for its response for a shorter time than its worker does. In that time it is sent again to whoever
-// leads next. A response counts only if it is from the leader, incarnation and term that are followed now.
+// A heartbeat waits for its response for a shorter time than its worker does. If the leader changes in that time, the
+// heartbeat is sent to the new leader. Responses from any other leader, incarnation or older term are ignored.
 #pragma once
 #include <optional>
 #include <unordered_map>
@@ -17,14 +16,14 @@
 
 using net::awaitable;
 
-// The controller that leads, as its own status messages say.
+// The leader, as reported by its own status messages.
 struct Leader {
     std::string member;
     std::uint64_t incarnation = 0, term = 0;
     bool operator==(const Leader&) const = default;
 };
 
-// What the leader responds to a heartbeat.
+// The leader's response to a heartbeat.
 struct LeaderResponse {
     std::uint64_t fencing_token = 0;
     std::vector<model::Command> commands;
@@ -38,18 +37,19 @@
     // `incarnation`: of this controller. `settings` must outlive the object.
     HeartbeatRelay(net::Executor ex, const config::Settings& settings, std::uint64_t incarnation, Send send);
 
-    // Who leads now; nothing if there is no leader that heartbeats can be relayed to. Sends again what could not be
-    // sent before.
+    // Sets the current leader; nullopt if there is none that accepts relayed heartbeats. Also sends heartbeats that
+    // could not be sent before.
     void set_leader(const std::optional<Leader>& leader);
 
-    // The connection to that controller has broken: what was sent and not answered may be lost.
+    // The connection to this controller has broken: heartbeats without a response may be lost and are sent again.
     void link_lost(const std::string& member);
 
-    // Responses have arrived. `newest_term`: the highest that this controller knows; responses of older terms are not
-    // passed on.
+    // Handles responses from the leader. `newest_term`: the highest term that this controller knows; responses of older
+    // terms are not forwarded.
     void answered(const RelayMessage& message, std::uint64_t newest_term);
 
-    // The leader's response; nothing if it refuses, or does not respond in time, or too many heartbeats wait.
+    // Relays a heartbeat and returns the leader's response; nullopt if the leader refuses or does not respond in time,
+    // or if too many heartbeats are waiting.
     awaitable<std::optional<LeaderResponse>> relay(model::Heartbeat heartbeat);
 
     // The number of heartbeats that wait for their responses.
@@ -60,16 +60,16 @@
         PendingHeartbeat(net::Executor ex, model::Heartbeat h) : heartbeat(std::move(h)), timer(ex) {}
         model::Heartbeat heartbeat;
         net::Timer timer;
-        bool sent = false;  // to the present leader
+        bool sent = false;  // to the current leader
         bool finished = false;
-        std::uint64_t original = 0;  // number of the heartbeat in full that it was sent as, or that it repeats
+        std::uint64_t original = 0;  // number of the full heartbeat that it was sent as, or that it repeats
         std::optional<LeaderResponse> response;
     };
-    // What the leader's cache has of a worker: the last heartbeat that it answered under that handle.
+    // The leader's cache entry for a worker: the last heartbeat under this handle that the leader responded to.
     struct CachedByLeader {
         std::uint32_t handle = 0;
         std::uint64_t original = 0;                 // the number with which that heartbeat was sent in full
-        std::optional<model::Heartbeat> heartbeat;  // nothing if it is not certain
+        std::optional<model::Heartbeat> heartbeat;  // nullopt if the content of the leader's cache is uncertain
     };
     void send(std::uint64_t number, PendingHeartbeat& pending);
     void send_unsent();
@@ -77,8 +77,8 @@
     void answer_received(const RelayedResponse& answer, std::uint64_t newest_term);
     static void finish(PendingHeartbeat& pending);
     CachedByLeader& cached_by_leader(const std::string& machine);
-    // All that is pending has to be sent again, and in full.
-    void forget_sent();
+    // Marks all pending heartbeats to be sent again in full.
+    void reset_sent_state();
 
     net::Executor ex_;
     const config::Settings& settings_;
--- a/src/peer/incarnations.hpp
+++ b/src/peer/incarnations.hpp
@@ -1,8 +1,8 @@
-// Tells which incarnation of a controller a message is from. A process that ended may be started again before any peer
-// notices, and messages of the incarnation before it may be delayed and arrive after its own. One connection belongs to
-// one incarnation, and the newest connection to the newest incarnation: so a message of another incarnation on an older
-// connection is from one that has ended. Times are not compared, for clocks drift. docs/design.md, "Back before anybody
-// noticed".
+// Distinguishes messages of a controller's current incarnation from delayed messages of an ended one. A controller may
+// restart before a peer notices, and messages of its previous incarnation may arrive after those of the new one. A
+// connection belongs to one incarnation, and the newest connection to the newest incarnation. So a message of another
+// incarnation on an older connection is from an ended one. Start times are not compared, because clocks drift. See
+// docs/design.md, "Back before anybody noticed".
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 class Incarnations {
   public:
-    // The incarnation that a message is from: the one known, a new one that takes its place, or one that has ended.
+    // The incarnation that sent a message: the known one, a new one that replaces it, or one that has ended.
     enum class From : std::uint8_t { present, next, previous };
 
-    // A message has arrived from that incarnation of the member (0: a version that has none), on the connection with
-    // that number. Connections are counted in the order in which they were accepted here.
+    // Classifies a message from this incarnation of the member (0: an old version without incarnations). `connection`:
+    // number of the connection it arrived on; connections are numbered in the order in which they were accepted.
     From classify(const std::string& member, std::uint64_t incarnation, std::uint64_t connection) {
         auto [it, is_new] = known_.try_emplace(member, Known{incarnation, connection});
         if (is_new) return From::next;
@@ -34,7 +34,7 @@
   private:
     struct Known {
         std::uint64_t incarnation;
-        std::uint64_t connection;  // the newest one that a message of it came on
+        std::uint64_t connection;  // the newest connection with a message of this incarnation
     };
     std::map<std::string, Known> known_;  // by member
 };
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr std::size_t max_frame = 1024 * 1024;      // bytes
-constexpr std::size_t max_relayed = 4 * max_frame;  // bytes that wait for one controller
-constexpr std::size_t header_size = 4;              // three bytes of a frame's size, one of its kind
-constexpr char receipt = 6;                         // ASCII ACK
+constexpr std::size_t max_relayed = 4 * max_frame;  // bytes queued for one controller
+constexpr std::size_t header_size = 4;              // bytes: three for the frame's size, one for its kind
+constexpr char ack_byte = 6;                        // ASCII ACK
 constexpr std::size_t max_incoming = 64;            // connections
 constexpr int backlog = 64;
 constexpr auto connect_limit = 2s;
@@ -99,15 +99,15 @@
         if (sending.empty() && relayed.empty()) continue;
         const auto frames =
             std::exchange(connection.status_messages.frames, 0) + std::exchange(connection.relay_messages.frames, 0);
-        std::string receipts(frames, '\0');
+        std::string acks(frames, '\0');
         sending += relayed;
         stream.expires_after(send_limit);
         auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::use_nothrow_awaitable);
         if (wec) co_return;
-        // Each message is receipted, for a sender that only writes never learns that the other end has closed the
-        // connection, as it does after the idle limit. A controller whose process had paused that long was not
-        // received by its peers any more.
-        auto [rec, got] = co_await asio::async_read(stream, asio::buffer(receipts), net::use_nothrow_awaitable);
+        // The peer acknowledges each frame. A sender that only writes does not notice that the peer has closed the
+        // connection, as it does after the idle limit. Without acknowledgements, a controller whose process had paused
+        // for that long kept writing to closed connections, and its peers received nothing more.
+        auto [rec, received] = co_await asio::async_read(stream, asio::buffer(acks), net::use_nothrow_awaitable);
         if (rec) co_return;
     }
 }
@@ -119,7 +119,7 @@
             co_await net::sleep_for(accept_retry_delay);
             continue;
         }
-        if (open_incoming_ >= max_incoming) continue;  // closes it
+        if (open_incoming_ >= max_incoming) continue;  // the socket's destructor closes it
         asio::co_spawn(ex_, receive_loop(std::move(socket)), asio::detached);
     }
 }
@@ -137,7 +137,7 @@
 awaitable<void> PeerConnections::receive_loop(net::tcp::socket socket) {
     ++open_incoming_;
     const auto connection = ++accepted_;
-    // A receipt must not wait until the one before it is acknowledged.
+    // Disables Nagle's algorithm, which would delay an acknowledgement byte until TCP confirms the one before it.
     boost::system::error_code ignored;
     socket.set_option(net::tcp::no_delay(true), ignored);
     beast::tcp_stream stream(std::move(socket));
@@ -159,7 +159,7 @@
             spdlog::error("event=peer_message_invalid why=\"{}\"", e.what());
             break;
         }
-        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&receipt, 1), net::use_nothrow_awaitable);
+        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&ack_byte, 1), net::use_nothrow_awaitable);
         if (rec) break;
     }
     --open_incoming_;
--- a/src/peer/peer_connections.hpp
+++ b/src/peer/peer_connections.hpp
@@ -1,8 +1,8 @@
 // The connections between the controllers of a cluster: one outgoing connection to each peer, on which this controller
 // sends, and the accepted ones, on which it receives. Messages may be lost when a connection breaks.
 //
-// A frame is three bytes of size (little endian), one byte of kind, and the message. Each frame is answered by one
-// byte, the receipt.
+// A frame is three bytes of size (little endian), one byte of kind, and the message. The receiver acknowledges each
+// frame with one byte.
 #pragma once
 #include <functional>
 #include <memory>
@@ -20,11 +20,11 @@
 
 class PeerConnections {
   public:
-    // Callbacks. `relay` and `lost` are optional.
+    // `relay` and `lost` are optional.
     struct Callbacks {
         std::function<void(const StatusMessage&)> status;
         std::function<void(const RelayMessage&)> relay;
-        // The connection to this member has broken: what was sent last may not have arrived.
+        // The connection to this member has broken: the last messages may not have arrived.
         std::function<void(const std::string& member)> lost;
     };
 
@@ -34,11 +34,11 @@
     // Starts to accept connections and to connect to all peers.
     void start();
 
-    // Queues the message for that controller; false if it is not connected, or too much waits for it already.
+    // Queues the message for that controller; false if it is not connected or its queue is full.
     bool send_relay_message(const std::string& member, const RelayMessage& message);
 
-    // Queues the message for every peer that is connected. Nothing is kept for the others; a peer that does not read
-    // gets the newest message only.
+    // Queues the message for every connected peer. Peers that are not connected never get it. If the queue of a slow
+    // peer is full, its older messages are dropped.
     void broadcast(const StatusMessage& status);
 
   private:
--- a/src/peer/relay_message.cpp
+++ b/src/peer/relay_message.cpp
@@ -10,10 +10,10 @@
 
 constexpr double no_termination_notice = -1;
 
-// Throws if the value is beyond the last enumerator.
+// Throws std::runtime_error if the value is greater than the last enumerator.
 template <class E>
-E to_enum(std::uint8_t value, E last, const char* what) {
-    if (value > static_cast<std::uint8_t>(last)) throw std::runtime_error(std::string("unknown ") + what);
+E to_enum(std::uint8_t value, E last, const char* field) {
+    if (value > static_cast<std::uint8_t>(last)) throw std::runtime_error(std::string("unknown ") + field);
     return static_cast<E>(value);
 }
 
@@ -134,7 +134,7 @@
 
 }  // namespace
 
-// The lists are written in this order, on which the bytes of the message depend.
+// The bytes of the message depend on the order in which the lists are written.
 std::string encode(const RelayMessage& from) {
     capnp::MallocMessageBuilder message;
     auto to = message.initRoot<::RelayMessage>();
--- a/src/peer/relay_message.hpp
+++ b/src/peer/relay_message.hpp
@@ -11,22 +11,22 @@
 
 // A heartbeat in full.
 struct RelayedHeartbeat {
-    std::uint64_t number = 0;  // counted by the sender's incarnation; the response has the same number
-    std::uint32_t handle = 0;  // stands for the machine and this heartbeat when it is repeated
+    std::uint64_t number = 0;  // unique within the sender's incarnation; the response has the same number
+    std::uint32_t handle = 0;  // identifies the machine's cache entry when this heartbeat is repeated
     model::Heartbeat report;
 };
 
-// A heartbeat that equals an earlier one under the same handle but for its sequence number.
+// A heartbeat that differs from an earlier one under the same handle only in its sequence number.
 struct RepeatedHeartbeat {
     std::uint64_t number = 0;
     std::uint32_t handle = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t original = 0;  // number of the heartbeat in full that is repeated
+    std::uint64_t original = 0;  // number of the full heartbeat that is repeated
 };
 
 enum class RelayOutcome : std::uint8_t {
     answered,
-    refused,         // the receiver may not answer, or the heartbeat is older than one that it knows
+    refused,         // the receiver may not respond, or it knows a newer heartbeat
     unknown_handle,  // the heartbeat has to be sent in full
 };
 
@@ -40,7 +40,7 @@
 struct RelayMessage {
     std::string member;                      // the sender
     std::uint64_t incarnation = 0;           // of the sender
-    std::uint64_t receiver_incarnation = 0;  // another incarnation of the receiver must ignore the message
+    std::uint64_t receiver_incarnation = 0;  // any other incarnation of the receiver must ignore the message
     std::vector<RelayedHeartbeat> reports;
     std::vector<RepeatedHeartbeat> repeated;
     std::vector<RelayedResponse> answers;
@@ -49,7 +49,7 @@
 
 std::string encode(const RelayMessage& message);
 
-// Throws std::runtime_error if the bytes are no such message.
+// Throws std::runtime_error if the bytes are not a valid message.
 RelayMessage decode_relay(const std::string& bytes);
 
 }  // namespace flintdale::peer
--- a/src/peer/relay_outbox.cpp
+++ b/src/peer/relay_outbox.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds window{20};
-// Of a message, estimated; a connection takes four times as much.
-constexpr std::size_t max_bytes = 256 * 1024;
-// Estimated sizes of what a message holds.
+constexpr std::chrono::milliseconds batching_window{20};
+// Estimated size of a message that is sent without waiting longer. The limit of a frame is four times as large.
+constexpr std::size_t max_message_bytes = 256 * 1024;
+// Estimated sizes of the parts of a message.
 constexpr std::size_t heartbeat_bytes = 200, task_bytes = 72, repeated_bytes = 24, response_bytes = 32,
                       command_bytes = 64;
 
@@ -48,14 +48,14 @@
 void RelayOutbox::added(std::size_t bytes) {
     collected_bytes_ += bytes;
     const auto now = Clock::now();
-    const bool window_is_over = now - last_flush_ >= window;
-    if (collected_bytes_ >= max_bytes || (!flush_pending_ && window_is_over)) {
+    const bool window_is_over = now - last_flush_ >= batching_window;
+    if (collected_bytes_ >= max_message_bytes || (!flush_pending_ && window_is_over)) {
         flush();
         return;
     }
     if (flush_pending_) return;
     flush_pending_ = true;
-    net::asio::co_spawn(ex_, flush_after(last_flush_ + window - now), net::asio::detached);
+    net::asio::co_spawn(ex_, flush_after(last_flush_ + batching_window - now), net::asio::detached);
 }
 
 net::awaitable<void> RelayOutbox::flush_after(Clock::duration delay) {
@@ -69,12 +69,12 @@
     if (collected_.empty()) return;
     last_flush_ = Clock::now();
     collected_bytes_ = 0;
-    RelayMessage leaving;
-    std::swap(leaving, collected_);
-    collected_.member = leaving.member;
-    collected_.incarnation = leaving.incarnation;
-    collected_.receiver_incarnation = leaving.receiver_incarnation;
-    if (!send_(leaving) && failed_) failed_(leaving);
+    RelayMessage outgoing;
+    std::swap(outgoing, collected_);
+    collected_.member = outgoing.member;
+    collected_.incarnation = outgoing.incarnation;
+    collected_.receiver_incarnation = outgoing.receiver_incarnation;
+    if (!send_(outgoing) && failed_) failed_(outgoing);
 }
 
 }  // namespace flintdale::peer
--- a/src/peer/relay_outbox.hpp
+++ b/src/peer/relay_outbox.hpp
@@ -1,5 +1,5 @@
-// Collects heartbeats and responses for one controller, so that many share a message: the first one leaves at once,
-// those that come within a window after the last message leave together at its end.
+// Batches heartbeats and responses for one controller into few messages. The first is sent at once; those added within
+// a short window after the last message are sent together at the end of the window.
 #pragma once
 #include <functional>
 #include <memory>
@@ -10,16 +10,16 @@
 
 namespace flintdale::peer {
 
-// Owned by a shared_ptr, which a delayed flush holds as well.
+// Must be owned by a shared_ptr: a delayed flush holds one too.
 class RelayOutbox : public std::enable_shared_from_this<RelayOutbox> {
   public:
-    // Sends a message; false if it cannot be sent now. The message is dropped then.
+    // Sends a message; returns false if it cannot be sent now, and the message is dropped.
     using Send = std::function<bool(const RelayMessage&)>;
     // Called with each message that could not be sent.
     using Failed = std::function<void(const RelayMessage&)>;
     RelayOutbox(net::Executor ex, Send send, Failed failed = {});
 
-    // Sets the sender and the receiver. What was collected for another incarnation of the receiver is dropped.
+    // Sets the sender and the receiver. Drops contents that were collected for another incarnation of the receiver.
     void address(const std::string& member, std::uint64_t incarnation, std::uint64_t receiver_incarnation);
     void add(RelayedHeartbeat heartbeat);
     void add(const RepeatedHeartbeat& heartbeat);
--- a/src/peer/relayed_heartbeat_cache.hpp
+++ b/src/peer/relayed_heartbeat_cache.hpp
@@ -1,4 +1,4 @@
-// The leader's cache of relayed heartbeats, so that one which says nothing new costs a few bytes on the wire.
+// The leader's cache of relayed heartbeats. With it a relay sends an unchanged heartbeat in a few bytes.
 #pragma once
 #include <map>
 #include <unordered_map>
@@ -10,8 +10,8 @@
 
 class RelayedHeartbeatCache {
   public:
-    // From now on that incarnation of the member may repeat the heartbeat. One that arrives after a newer one under its
-    // handle is not kept.
+    // Stores a full heartbeat, which this incarnation of the member may repeat from now on. A heartbeat that is older
+    // than the stored one of its handle is ignored.
     void keep(const std::string& member, std::uint64_t incarnation, const RelayedHeartbeat& heartbeat) {
         auto& relay = relay_of(member, incarnation);
         if (relay.heartbeats.size() >= max_heartbeats_per_relay) relay.heartbeats.clear();
@@ -19,8 +19,8 @@
         if (entry.number < heartbeat.number) entry = {heartbeat.number, heartbeat.report};
     }
 
-    // The heartbeat that is repeated, with the new sequence number; null if it is not in the cache, so that it has to
-    // be sent in full. Valid until the next call.
+    // The cached heartbeat with the new sequence number; null if it is not in the cache and has to be sent in full. The
+    // pointer is valid until the next call.
     const model::Heartbeat* repeated(const std::string& member, std::uint64_t incarnation,
                                      const RepeatedHeartbeat& heartbeat) {
         auto& relay = relay_of(member, incarnation);
@@ -36,7 +36,7 @@
     static constexpr std::size_t max_heartbeats_per_relay = 50'000;
 
     struct Entry {
-        std::uint64_t number = 0;  // with which the heartbeat arrived in full
+        std::uint64_t number = 0;  // number under which the heartbeat was sent in full
         model::Heartbeat heartbeat;
     };
     struct Relay {
--- a/src/peer/status_message.cpp
+++ b/src/peer/status_message.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t max_counts = 4000;  // in a message
+constexpr std::size_t max_counts = 4000;  // job counts in a message
 
 void write(const CancellationReport& from, ::StatusMessage::Builder to) {
     to.setNumber(from.number);
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-// The lists are written in this order, on which the bytes of the message depend.
+// The bytes of the message depend on the order in which the lists are written.
 std::string encode(const StatusMessage& status) {
     capnp::MallocMessageBuilder message;
     auto to = message.initRoot<::StatusMessage>();
--- a/src/worker/client.hpp
+++ b/src/worker/client.hpp
@@ -1,4 +1,4 @@
-// Questions of a controller to a worker. No commands are sent this way: they are part of responses to heartbeats.
+// Requests from a controller to a worker, which only read its status. Commands are sent in responses to heartbeats.
 #pragma once
 #include "model/heartbeat.hpp"
 #include "net/http_client.hpp"
@@ -8,16 +8,16 @@
 
 using net::awaitable;
 
-// The operations of workers. None throws because of a worker or the network.
+// The operations of workers. None throws on errors of a worker or the network.
 class Workers {
   public:
     virtual ~Workers() = default;
-    // What the worker at ADDRESS:PORT would send as its heartbeat now; nothing without a usable answer within a second
-    // and a half.
+    // The heartbeat that the worker at `address` (ADDRESS:PORT) would send now; nullopt without a usable response
+    // within 1.5 s.
     virtual awaitable<std::optional<model::Heartbeat>> status(std::string address) = 0;
 };
 
-// Workers over HTTP, with a connection for each question.
+// Workers over HTTP, with one connection for each request.
 class HttpWorkers : public Workers {
   public:
     explicit HttpWorkers(net::Executor ex) : ex_(ex) {}
