--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -16,15 +16,13 @@
     double aging_rate = 1.0;            // seconds by which a job counts as shorter for each second it has waited
 
     // Machines.
-    model::Seconds silent_timeout{9};  // time without a heartbeat after which a machine with tasks is given up
-    double boot_timeout_factor =
-        2.5;  // multiple of the nominal boot time after which a machine that is not up is given up
-    double idle_timeout_factor = 1.6;  // multiple of its replacement time for which a machine without tasks is kept
-    double array_horizon = 0.2;        // share of an array's objective in which its tasks may run one after another
-    double array_price_limit = 3.0;    // multiple of the cheapest price that a slot for an array may cost to scale out
-    double service_price_limit =
-        2.5;  // multiple of the cheapest price of a service's slot above which services are relocated
-    double spare_capacity_share = 0.1;  // share of the fleet's price kept as spare capacity, beyond 2*sqrt(machines)
+    model::Seconds silent_timeout{9};   // time without a heartbeat after which a machine with tasks is given up
+    double boot_timeout_factor = 2.5;   // multiple of the boot time after which a machine that is not up is given up
+    double idle_timeout_factor = 1.6;   // multiple of its replacement time for which a machine without tasks is kept
+    double array_horizon = 0.2;         // share of an array's objective in which its tasks may run one after another
+    double array_price_limit = 3.0;     // multiple of the cheapest price that a slot for an array may cost to scale out
+    double service_price_limit = 2.5;   // multiple of the cheapest slot price from which services are relocated
+    double spare_capacity_share = 0.1;  // share of the fleet's price kept spare, beyond 2*sqrt(machines) machines
     double spare_timeout_factor = 1.0;  // multiple of its replacement time for which a spare machine is kept
 
     // Controllers.
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -76,7 +76,7 @@
     StoreLimits store_limits;
     std::optional<StoreLimits> next_store_limits;  // take effect some time after an upgrade, without notice
     double cloud_requests_per_s = 4;
-    Seconds machine_list_lag{5};  // longest time that the cloud's list of machines lags behind
+    Seconds machine_list_lag{5};  // how far the cloud's list of machines lags behind
     std::size_t max_sockets = 1000;
     double cpu_share = 0;  // share of a core that this process may use; 0: not known
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -12,7 +12,7 @@
 constexpr int backlog = 1024;
 constexpr std::size_t body_limit = 64 * 1024;      // bytes
 constexpr std::uint32_t header_limit = 16 * 1024;  // bytes
-constexpr std::chrono::seconds idle_limit{120};    // from a connection's last response to the next request
+constexpr std::chrono::seconds idle_limit{120};    // from the accept or the last response to the next request
 constexpr std::chrono::seconds request_limit{10};  // from a request's first byte to its last
 constexpr std::chrono::seconds write_limit{10};
 constexpr std::chrono::milliseconds accept_retry_delay{50};
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,4 +1,4 @@
-// Exchange of cancellations between controllers, and until when a leader may rely on it.
+// Exchange of cancellations between controllers, and the time up to which a leader knows all of them.
 #include "peer/cancellations.hpp"
 
 #include "model/job.hpp"
@@ -11,176 +11,180 @@
 
 namespace {
 
-// Three controllers. The test carries their messages.
+// Three controllers. The test delivers their messages.
 struct CancellationExchangeTest : ::testing::Test {
-    struct One {
+    struct Controller {
         config::Settings settings;
         std::uint64_t incarnation = 1;
-        std::unique_ptr<peer::Cancellations> knows;
-        std::set<std::string> learned;
+        std::unique_ptr<peer::Cancellations> cancellations;
+        std::set<std::string> learned;  // uids of cancelled jobs
     };
-    std::map<std::string, One> all;
+    std::map<std::string, Controller> controllers;
     TimePoint now{1000s};
 
     void SetUp() override {
         for (const std::string name : {"a", "b", "c"}) {
-            auto& one = all[name];
-            one.settings = test::settings();
-            one.settings.member = name;
-            one.settings.controllers = 3;
+            auto& controller = controllers[name];
+            controller.settings = test::settings();
+            controller.settings.member = name;
+            controller.settings.controllers = 3;
             for (const std::string peer : {"a", "b", "c"})
-                if (peer != name) one.settings.peers.push_back({peer, "a", {}});
-            one.knows = std::make_unique<peer::Cancellations>(one.settings);
+                if (peer != name) controller.settings.peers.push_back({peer, "a", {}});
+            controller.cancellations = std::make_unique<peer::Cancellations>(controller.settings);
         }
     }
-    peer::CancellationReport report(const std::string& who) { return all[who].knows->make_report(now); }
-    void receive(const std::string& who, const std::string& from, std::uint64_t incarnation,
+    peer::CancellationReport report(const std::string& member) {
+        return controllers[member].cancellations->make_report(now);
+    }
+    void receive(const std::string& member, const std::string& from, std::uint64_t incarnation,
                  const peer::CancellationReport& report) {
-        auto& one = all[who];
+        auto& controller = controllers[member];
         for (const auto& uid : report.recent)
-            if (one.knows->note(uid, now)) one.learned.insert(uid);
-        one.knows->report_received(from, incarnation, one.incarnation, report, now);
+            if (controller.cancellations->note(uid, now)) controller.learned.insert(uid);
+        controller.cancellations->report_received(from, incarnation, controller.incarnation, report, now);
     }
     void send(const std::string& from, const std::string& to) {
-        receive(to, from, all[from].incarnation, report(from));
+        receive(to, from, controllers[from].incarnation, report(from));
     }
-    // Each second, each controller receives a message of each other one.
+    // Every second, each controller receives a message from each peer.
     void exchange_for(int seconds) {
         for (; seconds > 0; --seconds, now += 1s)
             for (const std::string from : {"a", "b", "c"})
                 for (const std::string to : {"a", "b", "c"})
                     if (from != to) send(from, to);
     }
-    void restart(const std::string& who) {  // it ended, and is started again at once
-        auto& one = all[who];
-        ++one.incarnation;
-        one.knows = std::make_unique<peer::Cancellations>(one.settings);
+    void restart(const std::string& member) {
+        auto& controller = controllers[member];
+        ++controller.incarnation;
+        controller.cancellations = std::make_unique<peer::Cancellations>(controller.settings);
+    }
+    TimePoint known_until(TimePoint records_read) {
+        return controllers["a"].cancellations->all_known_until(records_read, now);
     }
-    TimePoint known(TimePoint looked) { return all["a"].knows->all_known_until(looked, now); }
 };
 
 }  // namespace
 
-TEST_F(CancellationExchangeTest, KnowsWithoutTheStoreWhatAllPeersReportedSinceItAsked) {
+TEST_F(CancellationExchangeTest, ResponsesOfAllPeersExtendTheKnownTimeWithoutTheStore) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     exchange_for(60);
-    EXPECT_GE(known(looked), now - 3s);
-    EXPECT_LT(known(looked), now);
+    EXPECT_GE(known_until(records_read), now - 3s);
+    EXPECT_LT(known_until(records_read), now);
 }
 
-// The one before it may have told what nobody else knows.
+// The previous incarnation may have acknowledged a cancellation that no other controller knows.
 TEST_F(CancellationExchangeTest, RestartedPeerProvesNothingAboutItsPreviousIncarnation) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     exchange_for(2);
-    all["b"].knows->note("run-1", now);  // told a user, and ended before it told anybody else
+    controllers["b"].cancellations->note("run-1", now);  // acknowledged to a user; b ends before it reports it
     restart("b");
     exchange_for(30);
-    EXPECT_EQ(known(looked), looked);
-    // Once the records have been read again, nothing depends on that incarnation any more.
-    const auto again = now;
+    EXPECT_EQ(known_until(records_read), records_read);
+    // A later read of the records includes the cancellations of the previous incarnation.
+    const auto records_read_again = now;
     exchange_for(20);
-    EXPECT_GT(known(again), again + 15s);
+    EXPECT_GT(known_until(records_read_again), records_read_again + 15s);
 }
 
-TEST_F(CancellationExchangeTest, UnheardPeerLeavesTheLastRecordsReadAsTheBound) {
+TEST_F(CancellationExchangeTest, PeerWithoutMessagesLeavesTheLastRecordReadAsTheBound) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     for (int i = 0; i < 30; ++i, now += 1s) send("a", "b"), send("b", "a"), send("a", "c");
-    EXPECT_LE(known(looked), looked);
+    EXPECT_LE(known_until(records_read), records_read);
 }
 
-// A message may be held for a minute and come when its sender has told more: it answers the question it names.
-TEST_F(CancellationExchangeTest, DelayedMessageDatesFromTheMessageItAnswers) {
+// A message may be delayed while its sender acknowledges more cancellations. It counts from the query that it names.
+TEST_F(CancellationExchangeTest, DelayedMessageCountsFromTheQueryItNames) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     exchange_for(5);
-    const auto held = report("b");
-    const auto then = now;
+    const auto delayed = report("b");
+    const auto made = now;
     for (int i = 0; i < 40; ++i, now += 1s) send("a", "c"), send("c", "a"), send("a", "b");
-    receive("a", "b", all["b"].incarnation, held);
-    EXPECT_LE(known(looked), then);
+    receive("a", "b", controllers["b"].incarnation, delayed);
+    EXPECT_LE(known_until(records_read), made);
 }
 
-// Answered: b has heard what a said. Nothing that b says without that tells when it was said.
-TEST_F(CancellationExchangeTest, MessageThatHasNotReceivedTheQuestionProvesNothing) {
+// A message from b that names no message from a does not show when it was made.
+TEST_F(CancellationExchangeTest, MessageThatNamesNoQueryProvesNothing) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     for (int i = 0; i < 30; ++i, now += 1s) send("b", "a"), send("c", "a");
-    EXPECT_EQ(known(looked), looked);
+    EXPECT_EQ(known_until(records_read), records_read);
 }
 
-TEST_F(CancellationExchangeTest, AnswersToAPreviousIncarnationOfTheAskerDoNotCount) {
+TEST_F(CancellationExchangeTest, ResponsesToThePreviousIncarnationAreIgnored) {
     exchange_for(3);
-    const auto to_former = report("b");
+    const auto to_previous_incarnation = report("b");
     restart("a");
-    const auto looked = now;
+    const auto records_read = now;
     for (int i = 0; i < 5; ++i, now += 1s) report("a");
-    receive("a", "b", all["b"].incarnation, to_former);
-    receive("a", "c", all["c"].incarnation, report("c"));
-    EXPECT_EQ(known(looked), looked);
+    receive("a", "b", controllers["b"].incarnation, to_previous_incarnation);
+    receive("a", "c", controllers["c"].incarnation, report("c"));
+    EXPECT_EQ(known_until(records_read), records_read);
 }
 
-TEST_F(CancellationExchangeTest, VersionThatDoesNotReportProvesNothing) {
+TEST_F(CancellationExchangeTest, OldVersionWithoutReportsProvesNothing) {
     exchange_for(3);
-    const auto looked = now;
+    const auto records_read = now;
     for (int i = 0; i < 20; ++i, now += 1s) {
         send("a", "b"), send("b", "a"), send("a", "c");
         receive("a", "c", 0, {});
     }
-    EXPECT_LE(known(looked), looked);
+    EXPECT_LE(known_until(records_read), records_read);
 }
 
-TEST_F(CancellationExchangeTest, CancellationIsNamedUntilEverybodyKnowsAndIsForwarded) {
+TEST_F(CancellationExchangeTest, CancellationIsForwardedAndReportedAsNewOnlyOnce) {
     exchange_for(3);
-    all["b"].knows->note("run-1", now);
+    controllers["b"].cancellations->note("run-1", now);
     send("b", "c");
-    send("c", "a");  // a and b do not hear each other
-    EXPECT_TRUE(all["a"].learned.contains("run-1"));
-    all["a"].learned.clear();
+    send("c", "a");  // a and b receive no messages from each other
+    EXPECT_TRUE(controllers["a"].learned.contains("run-1"));
+    controllers["a"].learned.clear();
     exchange_for(20 * 60);
-    EXPECT_TRUE(all["a"].learned.empty());  // and not for ever: it is news once
+    EXPECT_TRUE(controllers["a"].learned.empty());  // not reported as new a second time
     EXPECT_TRUE(report("a").recent.empty());
 }
 
-// What is too much to name in a message is not named, and then nothing may be concluded.
-TEST_F(CancellationExchangeTest, SenderThatCannotNameAllSaysSo) {
+// A report that cannot list all cancellations is marked as incomplete, and proves nothing.
+TEST_F(CancellationExchangeTest, TruncatedReportIsIncompleteAndProvesNothing) {
     exchange_for(3);
-    for (int i = 0; i < 5000; ++i) all["b"].knows->note("run-" + std::to_string(i), now);
+    for (int i = 0; i < 5000; ++i) controllers["b"].cancellations->note("run-" + std::to_string(i), now);
     EXPECT_FALSE(report("b").complete);
-    const auto looked = now;
+    const auto records_read = now;
     exchange_for(10);
-    EXPECT_EQ(known(looked), looked);
+    EXPECT_EQ(known_until(records_read), records_read);
 }
 
-// After so long a peer no longer names what it learned first.
-TEST_F(CancellationExchangeTest, KnowledgeExpires) {
+// After a reporting period, peers no longer report the first cancellations that they learned.
+TEST_F(CancellationExchangeTest, KnownTimeExpiresAfterAReportingPeriod) {
     exchange_for(3);
-    const auto looked = now;
-    exchange_for(static_cast<int>(Seconds(all["a"].knows->span()).count()) + 5);
-    EXPECT_EQ(known(looked), looked);
+    const auto records_read = now;
+    exchange_for(static_cast<int>(Seconds(controllers["a"].cancellations->reporting_period()).count()) + 5);
+    EXPECT_EQ(known_until(records_read), records_read);
 }
 
 TEST_F(CancellationExchangeTest, ReportSurvivesEncoding) {
     exchange_for(3);
     peer::StatusMessage b;
     b.member = "b";
-    all["b"].knows->note("run-1", now);
+    controllers["b"].cancellations->note("run-1", now);
     b.cancellations = report("b");
-    const auto there = peer::decode_status(peer::encode(b));
-    EXPECT_EQ(there.cancellations.number, b.cancellations.number);
-    EXPECT_TRUE(there.cancellations.complete);
-    EXPECT_EQ(there.cancellations.recent, std::vector<std::string>{"run-1"});
-    ASSERT_EQ(there.cancellations.received.size(), 2u);
-    EXPECT_EQ(there.cancellations.received[0].member, "a");
-    EXPECT_EQ(there.cancellations.received[0].incarnation, 1u);
-    EXPECT_EQ(there.cancellations.received[0].number, b.cancellations.received[0].number);
+    const auto decoded = peer::decode_status(peer::encode(b));
+    EXPECT_EQ(decoded.cancellations.number, b.cancellations.number);
+    EXPECT_TRUE(decoded.cancellations.complete);
+    EXPECT_EQ(decoded.cancellations.recent, std::vector<std::string>{"run-1"});
+    ASSERT_EQ(decoded.cancellations.received.size(), 2u);
+    EXPECT_EQ(decoded.cancellations.received[0].member, "a");
+    EXPECT_EQ(decoded.cancellations.received[0].incarnation, 1u);
+    EXPECT_EQ(decoded.cancellations.received[0].number, b.cancellations.received[0].number);
 }
 
-// The watch of a leader that is refused, or of everybody in an outage, stands open and tells of a cancellation long
-// after its user was told. A machine that hangs must be given up by the time that counts from then.
-TEST(LateCancellationTest, LateReadCancellationCountsFromWhenUsersWereTold) {
+// If the state service refuses a leader, or in an outage, the leader's watch reports a cancellation long after it was
+// acknowledged to the user. The time to give up a hung machine must still count from the acknowledgement.
+TEST(LateCancellationTest, CancelDeadlineCountsFromTheAcknowledgementToTheUser) {
     SchedulerHarness w;
     w.elect();
     w.leader->set_machine_types(types());
@@ -194,25 +198,26 @@
     m.run_all();
     w.heartbeat(m);
     ASSERT_EQ(w.machine_of("run-1", 0), m.name);
-    // Told here; the machine hangs from now on.
+    // The cancellation is acknowledged now, and the machine hangs from now on.
     state::KeyValue outcome;
     outcome.key = scheduler::outcome_key("run-1");
     outcome.mod_revision = 1'000'000;
     outcome.value = boost::json::object{{"state", "aborted"}, {"at", w.wall_ms}, {"shape", "standing"}, {"shards", 1}};
-    const auto told = w.now;
+    const auto acknowledged = w.now;
     w.pass(Seconds(30));
     w.wall_ms += 30'000;
     w.leader->job_changed(outcome, w.now, w.wall_ms);
     TimePoint given_up = TimePoint::max();
-    // For that reason, the only one that counts in an outage.
-    for (; w.now < told + model::to_clock(w.settings.cancel_deadline * 2) && given_up == TimePoint::max();
+    // In an outage, machines are given up only for this reason.
+    for (; w.now < acknowledged + model::to_clock(w.settings.cancel_deadline * 2) && given_up == TimePoint::max();
          w.pass(Seconds(1)))
         for (const auto& r : w.leader->scale_in(w.now))
             if (r.why == scheduler::cancelled_work) given_up = w.now;
-    EXPECT_LT(given_up, told + model::to_clock(w.settings.cancel_deadline) - 5s);
+    EXPECT_LT(given_up, acknowledged + model::to_clock(w.settings.cancel_deadline) - 5s);
 }
 
-// A peer's word, while the record cannot be read: no order is sent any more, and what runs is killed.
+// A peer reports a cancellation while the record cannot be read: no command to run is sent, and running tasks are
+// killed.
 TEST(LateCancellationTest, CancellationReportedByAPeerStopsTheJob) {
     SchedulerHarness w;
     w.elect();
--- a/tests/golden_services_test.cpp
+++ b/tests/golden_services_test.cpp
@@ -1,6 +1,6 @@
-// What the state service and the cloud are asked over HTTP, and what is understood of their answers. Both are played by
-// a server on this machine that gives the answers of a list, one after another. And how messages between controllers
-// are framed.
+// Guards the HTTP requests to the state service and the cloud, the parsing of their responses, and the framing of
+// messages between controllers against unintended changes. A local server acts as both services and sends a list of
+// prepared replies in order. Requests and parsed responses must equal the golden files.
 #include <deque>
 
 #include "cloud/client.hpp"
@@ -13,11 +13,11 @@
 
 namespace {
 
-class PlayedService {
+class FakeHttpService {
   public:
-    PlayedService() { server_.start(); }
+    FakeHttpService() { server_.start(); }
 
-    std::string asked;  // each request: its verb, its target and its body
+    std::string requests;  // one line per request: verb, target and body
 
     config::Settings settings() const {
         auto out = golden_settings("hearth-0", "hearth-1");
@@ -27,7 +27,7 @@
         out.state.port = out.cloud.port = server_.port();
         return out;
     }
-    void gives(unsigned status, std::string body) {
+    void add_reply(unsigned status, std::string body) {
         net::Reply reply;
         reply.status = status;
         reply.body = std::move(body);
@@ -44,14 +44,14 @@
         return *out;
     }
     void run(net::awaitable<void> call) {
-        bool over = false;
-        net::asio::co_spawn(io, std::move(call), [&](std::exception_ptr) { over = true; });
-        while (!over) io.run_one();
+        bool finished = false;
+        net::asio::co_spawn(io, std::move(call), [&](std::exception_ptr) { finished = true; });
+        while (!finished) io.run_one();
     }
 
   private:
     net::awaitable<net::Reply> answer(net::Request request) {
-        asked += std::string(net::http::to_string(request.verb)) + " " + request.target + " " + request.body + "\n";
+        requests += std::string(net::http::to_string(request.verb)) + " " + request.target + " " + request.body + "\n";
         net::Reply reply;
         reply.status = 503;
         if (!replies_.empty()) {
@@ -70,8 +70,8 @@
                             [this](net::Request request) { return answer(std::move(request)); }};
 };
 
-struct StatePlay {
-    PlayedService service;
+struct StateServiceClient {
+    FakeHttpService service;
     config::Settings settings = service.settings();
     state::RecordFormat record_format{settings};
     state::HttpStore store{service.io.get_executor(), settings, record_format};
@@ -102,18 +102,18 @@
     return out + "\n";
 }
 
-// One with conditions, writes with and without a lease, and a deletion.
+// A transaction with conditions, writes with and without a lease, and a deletion.
 state::Txn full_transaction() {
     state::Txn txn;
     txn.conditions = {{"a/b", 0}, {"c/d", 412}};
-    state::Change leased, plain, gone;
+    state::Change leased, plain, deletion;
     leased.key = "a/b";
     leased.value = boost::json::object{{"n", 1.5}};
     leased.lease = 7;
     plain.key = "a/c";
     plain.value = boost::json::string("text");
-    gone.key = "c/d";
-    txn.changes = {leased, plain, gone};
+    deletion.key = "c/d";
+    txn.changes = {leased, plain, deletion};
     return txn;
 }
 
@@ -142,7 +142,7 @@
     return message;
 }
 
-// A port of this machine that is free.
+// A free port of this machine.
 std::uint16_t free_port(net::asio::io_context& io) {
     net::tcp::acceptor probe(io, net::tcp::endpoint(net::asio::ip::make_address("127.0.0.1"), 0));
     return probe.local_endpoint().port();
@@ -152,130 +152,130 @@
 
 }  // namespace
 
-// Reading one key and many, and what each status means.
-TEST(GoldenTest, KeysAreReadFromTheStateServiceAsBefore) {
-    StatePlay play;
-    std::string understood;
+// Reads of one key and of a range, with each HTTP status.
+TEST(GoldenTest, StateServiceReadsMatchGoldenFiles) {
+    StateServiceClient client;
+    std::string parsed;
     for (const unsigned status : {200u, 404u, 409u, 410u, 429u, 503u, 500u}) {
-        play.service.gives(status, R"({"key":"a/b","v":{"x":[1]},"stamp":412,"permit":7,"epoch":431})");
-        const auto got = play.service.run(play.store.get("a/b", priority));
-        understood += print(got.outcome) + " " + print(got.item) + "\n";
+        client.service.add_reply(status, R"({"key":"a/b","v":{"x":[1]},"stamp":412,"permit":7,"epoch":431})");
+        const auto got = client.service.run(client.store.get("a/b", priority));
+        parsed += print(got.outcome) + " " + print(got.item) + "\n";
     }
-    play.service.gives(200, R"({"items":[{"key":"c/8","v":"x","stamp":3},{"key":"c/9","v":null,"stamp":4}],)"
-                            R"("truncated":true,"epoch":431})");
-    understood += print(play.service.run(play.store.range("c/", "", priority)));
-    play.service.gives(200, R"({"items":[],"truncated":false,"epoch":432})");
-    understood += print(play.service.run(play.store.range("c/", "c/9", priority)));
-    play.service.gives(200, "nonsense");
-    understood += print(play.service.run(play.store.range("c/", "c/9", priority)));
-    expect_golden("state_reading_asked.txt", play.service.asked);
-    expect_golden("state_reading_understood.txt", understood);
+    client.service.add_reply(200, R"({"items":[{"key":"c/8","v":"x","stamp":3},{"key":"c/9","v":null,"stamp":4}],)"
+                                  R"("truncated":true,"epoch":431})");
+    parsed += print(client.service.run(client.store.range("c/", "", priority)));
+    client.service.add_reply(200, R"({"items":[],"truncated":false,"epoch":432})");
+    parsed += print(client.service.run(client.store.range("c/", "c/9", priority)));
+    client.service.add_reply(200, "nonsense");
+    parsed += print(client.service.run(client.store.range("c/", "c/9", priority)));
+    expect_golden("state_reading_asked.txt", client.service.requests);
+    expect_golden("state_reading_understood.txt", parsed);
 }
 
-// A transaction with all that it may hold, and what each answer means.
-TEST(GoldenTest, TransactionsOnTheStateServiceAreAsBefore) {
-    StatePlay play;
-    std::string understood;
-    play.service.gives(200, R"({"epoch":432})");
-    play.service.gives(409, R"({"failed":["a/b","c/d"],"epoch":431})");
-    play.service.gives(400, R"({"error":"no such lease"})");
-    play.service.gives(400, R"({"error":"too long"})");
-    play.service.gives(429, "");
-    play.service.gives(503, "");
-    play.service.gives(500, "");
-    play.service.gives(200, "nonsense");
-    for (int i = 0; i < 8; ++i) understood += print(play.service.run(play.store.commit(full_transaction(), priority)));
+// A transaction with every kind of condition and change, with each response.
+TEST(GoldenTest, StateServiceTransactionsMatchGoldenFiles) {
+    StateServiceClient client;
+    std::string parsed;
+    client.service.add_reply(200, R"({"epoch":432})");
+    client.service.add_reply(409, R"({"failed":["a/b","c/d"],"epoch":431})");
+    client.service.add_reply(400, R"({"error":"no such lease"})");
+    client.service.add_reply(400, R"({"error":"too long"})");
+    client.service.add_reply(429, "");
+    client.service.add_reply(503, "");
+    client.service.add_reply(500, "");
+    client.service.add_reply(200, "nonsense");
+    for (int i = 0; i < 8; ++i) parsed += print(client.service.run(client.store.commit(full_transaction(), priority)));
     state::Txn comparison;
     comparison.conditions = {{"a/b", 0}};
-    play.service.gives(200, R"({"epoch":433})");
-    understood += print(play.service.run(play.store.commit(comparison, priority)));
-    expect_golden("state_transactions_asked.txt", play.service.asked);
-    expect_golden("state_transactions_understood.txt", understood);
+    client.service.add_reply(200, R"({"epoch":433})");
+    parsed += print(client.service.run(client.store.commit(comparison, priority)));
+    expect_golden("state_transactions_asked.txt", client.service.requests);
+    expect_golden("state_transactions_understood.txt", parsed);
 }
 
-// Watching a prefix: writes, deletions, and a watch from too long ago.
-TEST(GoldenTest, WatchesOnTheStateServiceAreAsBefore) {
-    StatePlay play;
-    std::string understood;
-    play.service.gives(200, R"({"epoch":433,"events":[{"write":"c/9","v":{"x":1},"stamp":433},)"
-                            R"({"delete":"c/d","stamp":432}]})");
-    play.service.gives(200, R"({"epoch":434,"events":[]})");
-    play.service.gives(410, "{}");
-    play.service.gives(503, "{}");
+// Watches of a prefix: writes, deletions, and a start revision that is too old.
+TEST(GoldenTest, StateServiceWatchesMatchGoldenFiles) {
+    StateServiceClient client;
+    std::string parsed;
+    client.service.add_reply(200, R"({"epoch":433,"events":[{"write":"c/9","v":{"x":1},"stamp":433},)"
+                                  R"({"delete":"c/d","stamp":432}]})");
+    client.service.add_reply(200, R"({"epoch":434,"events":[]})");
+    client.service.add_reply(410, "{}");
+    client.service.add_reply(503, "{}");
     for (int i = 0; i < 4; ++i)
-        understood += print(play.service.run(play.store.watch("c/", 431, std::chrono::milliseconds(10'000))));
-    expect_golden("state_watches_asked.txt", play.service.asked);
-    expect_golden("state_watches_understood.txt", understood);
+        parsed += print(client.service.run(client.store.watch("c/", 431, std::chrono::milliseconds(10'000))));
+    expect_golden("state_watches_asked.txt", client.service.requests);
+    expect_golden("state_watches_understood.txt", parsed);
 }
 
-// Leases: granted, renewed, ended.
-TEST(GoldenTest, LeasesOfTheStateServiceAreAsBefore) {
-    StatePlay play;
-    std::string understood;
-    play.service.gives(200, R"({"permit":7})");
-    play.service.gives(200, R"({"other":7})");
-    play.service.gives(429, "{}");
+// Leases: granted, renewed and revoked.
+TEST(GoldenTest, StateServiceLeasesMatchGoldenFiles) {
+    StateServiceClient client;
+    std::string parsed;
+    client.service.add_reply(200, R"({"permit":7})");
+    client.service.add_reply(200, R"({"other":7})");
+    client.service.add_reply(429, "{}");
     for (int i = 0; i < 3; ++i) {
-        const auto granted = play.service.run(play.store.grant(std::chrono::milliseconds(2'500)));
-        understood += print(granted.outcome) + " " + std::to_string(granted.lease) + "\n";
+        const auto granted = client.service.run(client.store.grant(std::chrono::milliseconds(2'500)));
+        parsed += print(granted.outcome) + " " + std::to_string(granted.lease) + "\n";
     }
     for (const unsigned status : {200u, 404u, 503u}) {
-        play.service.gives(status, "{}");
-        understood += print(play.service.run(play.store.renew(7))) + "\n";
+        client.service.add_reply(status, "{}");
+        parsed += print(client.service.run(client.store.renew(7))) + "\n";
     }
-    play.service.gives(200, "{}");
-    play.service.run(play.store.revoke(7));
-    expect_golden("state_leases_asked.txt", play.service.asked);
-    expect_golden("state_leases_understood.txt", understood);
+    client.service.add_reply(200, "{}");
+    client.service.run(client.store.revoke(7));
+    expect_golden("state_leases_asked.txt", client.service.requests);
+    expect_golden("state_leases_understood.txt", parsed);
 }
 
-// The cloud's types and machines, page by page.
-TEST(GoldenTest, TheCloudIsReadAsBefore) {
-    PlayedService service;
+// The cloud's machine types, and its list of machines in pages.
+TEST(GoldenTest, CloudReadsMatchGoldenFiles) {
+    FakeHttpService service;
     const auto settings = service.settings();
     cloud::HttpCloud cloud(service.io.get_executor(), settings);
-    std::string understood;
-    service.gives(200, golden("given_catalogue.json"));
-    service.gives(503, "{}");
+    std::string parsed;
+    service.add_reply(200, golden("given_catalogue.json"));
+    service.add_reply(503, "{}");
     for (int i = 0; i < 2; ++i) {
         const auto types = service.run(cloud.catalog());
-        understood += (types ? boost::json::serialize(wire::catalog_record(*types)) : "no types") + "\n";
+        parsed += (types ? boost::json::serialize(wire::catalog_record(*types)) : "no types") + "\n";
     }
-    service.gives(200, golden("given_machines_first.json"));
-    service.gives(200, golden("given_machines_last.json"));
-    service.gives(503, "{}");
-    for (int i = 0; i < 2; ++i) understood += print(service.run(cloud.machines()));
-    expect_golden("cloud_reading_asked.txt", service.asked);
-    expect_golden("cloud_reading_understood.txt", understood);
+    service.add_reply(200, golden("given_machines_first.json"));
+    service.add_reply(200, golden("given_machines_last.json"));
+    service.add_reply(503, "{}");
+    for (int i = 0; i < 2; ++i) parsed += print(service.run(cloud.machines()));
+    expect_golden("cloud_reading_asked.txt", service.requests);
+    expect_golden("cloud_reading_understood.txt", parsed);
 }
 
-// Renting and returning machines, and what each answer means.
-TEST(GoldenTest, MachinesAreRentedAndReturnedAsBefore) {
-    PlayedService service;
+// Launching and terminating machines, with each response.
+TEST(GoldenTest, MachineLaunchesAndTerminationsMatchGoldenFiles) {
+    FakeHttpService service;
     const auto settings = service.settings();
     cloud::HttpCloud cloud(service.io.get_executor(), settings);
-    std::string understood;
-    service.gives(200, golden("given_rented.json"));
-    service.gives(503, R"({"error":"no capacity"})");
-    service.gives(503, R"({"error":"trouble"})");
-    service.gives(400, "{}");
-    service.gives(429, "{}");
+    std::string parsed;
+    service.add_reply(200, golden("given_rented.json"));
+    service.add_reply(503, R"({"error":"no capacity"})");
+    service.add_reply(503, R"({"error":"trouble"})");
+    service.add_reply(400, "{}");
+    service.add_reply(429, "{}");
     for (int i = 0; i < 5; ++i) {
-        const auto rented = service.run(cloud.launch("r-17", "g8", "a", true, 12));
-        understood += std::to_string(static_cast<int>(rented.outcome));
-        for (const auto& name : rented.machines) understood += " " + name;
-        understood += "\n";
+        const auto launched = service.run(cloud.launch("r-17", "g8", "a", true, 12));
+        parsed += std::to_string(static_cast<int>(launched.outcome));
+        for (const auto& name : launched.machines) parsed += " " + name;
+        parsed += "\n";
     }
     for (const unsigned status : {200u, 503u}) {
-        service.gives(status, "{}");
-        understood += service.run(cloud.terminate({"n-000231", "n-000232"})) ? "returned\n" : "not returned\n";
+        service.add_reply(status, "{}");
+        parsed += service.run(cloud.terminate({"n-000231", "n-000232"})) ? "returned\n" : "not returned\n";
     }
-    expect_golden("cloud_renting_asked.txt", service.asked);
-    expect_golden("cloud_renting_understood.txt", understood);
+    expect_golden("cloud_renting_asked.txt", service.requests);
+    expect_golden("cloud_renting_understood.txt", parsed);
 }
 
-// A beat and a relayed message as they leave for another controller.
-TEST(GoldenTest, MessagesToControllersAreFramedAsBefore) {
+// A status message and a relay message as they are sent to another controller.
+TEST(GoldenTest, FramesSentToControllersMatchTheGoldenFile) {
     net::asio::io_context io;
     net::tcp::acceptor other(io, net::tcp::endpoint(net::asio::ip::make_address("127.0.0.1"), 0));
     auto settings = golden_settings("hearth-1", "hearth-0");
@@ -297,8 +297,8 @@
     EXPECT_EQ(socket.available(), 0u);
 }
 
-// The same as they come from an earlier version, and the receipts that it waits for.
-TEST(GoldenTest, FramedMessagesOfAnEarlierVersionAreUnderstood) {
+// The same frames from an earlier version are decoded, and each is acknowledged with one byte.
+TEST(GoldenTest, FramesOfAnEarlierVersionAreDecodedAndAcknowledged) {
     net::asio::io_context io;
     auto settings = golden_settings("hearth-0", "hearth-1");
     settings.peers.clear();
@@ -314,14 +314,14 @@
     socket.connect({net::asio::ip::make_address("127.0.0.1"), settings.peer_listen.port});
     const auto bytes = golden("framed_messages.bin");
     net::asio::write(socket, net::asio::buffer(bytes));
-    std::string receipts(2, '\0');
+    std::string acks(2, '\0');
     bool read = false;
-    net::asio::async_read(socket, net::asio::buffer(receipts),
+    net::asio::async_read(socket, net::asio::buffer(acks),
                           [&](boost::system::error_code, std::size_t) { read = true; });
     while (!read) io.run_one();
     EXPECT_EQ(statuses, std::vector<std::string>{peer::encode(small_status())});
     EXPECT_EQ(relayed, std::vector<std::string>{peer::encode(small_relay())});
-    EXPECT_EQ(receipts, "\6\6");
+    EXPECT_EQ(acks, "\6\6");
 }
 
 }  // namespace flintdale::test
--- a/tests/golden_settings_test.cpp
+++ b/tests/golden_settings_test.cpp
@@ -1,4 +1,5 @@
-// The settings that controllers are started with, and the operators' own: each key is understood as before.
+// Guards the parsing of the platform's and the operators' settings against unintended changes: the parsed values of
+// every key and the error messages must equal the golden files. The printed labels are part of these files.
 #include <sstream>
 
 #include "support/golden_support.hpp"
@@ -9,8 +10,8 @@
 
 std::string print(const config::Address& address) { return address.host + " port " + std::to_string(address.port); }
 
-void print(std::ostream& out, const char* what, const config::StoreLimits& limits) {
-    out << what << ": " << limits.rps << " requests and " << limits.write_rps << " writes a second, "
+void print(std::ostream& out, const char* label, const config::StoreLimits& limits) {
+    out << label << ": " << limits.rps << " requests and " << limits.write_rps << " writes a second, "
         << limits.value_bytes << " bytes, " << limits.txn_ops << " changes\n";
 }
 
@@ -19,17 +20,17 @@
     out << "own name: " << settings.member << "\nown place: " << settings.zone
         << "\nserves on: " << print(settings.listen) << "\nhears the others on: " << print(settings.peer_listen)
         << "\n";
-    for (const auto& other : settings.peers)
-        out << "other: " << other.member << " in " << other.zone << " at " << print(other.addr) << "\n";
+    for (const auto& peer : settings.peers)
+        out << "other: " << peer.member << " in " << peer.zone << " at " << print(peer.addr) << "\n";
     out << "machines are rented at: " << print(settings.cloud) << "\nrecords are kept at: " << print(settings.state)
         << "\ncontrollers: " << settings.controllers << "\n";
-    for (const auto& place : settings.zones) out << "place: " << place << "\n";
+    for (const auto& zone : settings.zones) out << "place: " << zone << "\n";
     for (const auto& team : settings.teams)
         out << "figures: " << team.name << " " << team.cpus << " " << team.cpus_limit << " " << team.gpus << " "
             << team.gpus_limit << "\n";
-    for (const auto& aim : settings.objectives)
-        out << "aim: " << aim.kind << " of " << aim.job_class << " within " << aim.within.count() << " for "
-            << aim.share << "\n";
+    for (const auto& objective : settings.objectives)
+        out << "aim: " << objective.kind << " of " << objective.job_class << " within " << objective.within.count()
+            << " for " << objective.share << "\n";
     out << "a word every: " << settings.heartbeat_interval.count()
         << "\nstops when unanswered for: " << settings.worker_lease.count()
         << "\nwaits for all: " << settings.gang_barrier_timeout.count()
@@ -68,26 +69,26 @@
     return out.str();
 }
 
-// What an operator reads where the line is left out.
-std::string complaint(const std::string& text) {
+// The error message for the settings, or "taken" if they are valid.
+std::string error_of(const std::string& text) {
     try {
         config::parse_settings(text, "settings.toml");
         return "taken";
-    } catch (const config::ConfigError& bad) {
-        return bad.what();
+    } catch (const config::ConfigError& error) {
+        return error.what();
     }
 }
 
 }  // namespace
 
-// The settings of the deploy page, as it stands, and a file with every key that is known.
-TEST(GoldenTest, SettingsAreUnderstoodAsBefore) {
+// The settings file of the deployment page, and a file with every known key.
+TEST(GoldenTest, ParsedSettingsMatchGoldenFiles) {
     for (const std::string name : {"settings_of_the_deploy_page", "settings_with_every_key"})
         expect_golden(name + "_read.txt", print(config::parse_settings(golden(name + ".toml"), "settings.toml")));
 }
 
-// Each line in turn is left out: the value that holds then, or what is complained of.
-TEST(GoldenTest, ASettingThatIsLeftOutCountsAsBefore) {
+// Each line in turn is left out: the resulting default value or error message.
+TEST(GoldenTest, DefaultsAndErrorsOfMissingSettingsMatchTheGoldenFile) {
     const auto lines = lines_of(golden("settings_with_every_key.toml"));
     std::string out;
     for (const auto& without : lines) {
@@ -95,29 +96,29 @@
         std::string text;
         for (const auto& line : lines)
             if (&line != &without) text += line + "\n";
-        out += "--- without " + without + "\n" + complaint(text) + "\n";
-        if (complaint(text) == "taken") out += print(config::parse_settings(text, "settings.toml"));
+        out += "--- without " + without + "\n" + error_of(text) + "\n";
+        if (error_of(text) == "taken") out += print(config::parse_settings(text, "settings.toml"));
     }
     expect_golden("settings_left_out.txt", out);
 }
 
-// The operators' file with every key, and what holds where there is none.
-TEST(GoldenTest, OperatorsSettingsAreUnderstoodAsBefore) {
+// The operators' settings with every key, and the defaults without any key.
+TEST(GoldenTest, ParsedOperatorSettingsMatchGoldenFiles) {
     const auto text = golden("operators_with_every_key.ini");
     expect_golden("operators_with_every_key_read.txt", print(config::parse_operator_settings(text, "operators.ini")));
     expect_golden("operators_with_no_key_read.txt", print(config::parse_operator_settings("", "operators.ini")));
 }
 
-// An unknown key is refused, with all that are known.
-TEST(GoldenTest, ComplaintsAboutOperatorsSettingsAreAsBefore) {
+// Error messages for unknown keys, invalid values and syntax errors. An unknown key is reported with all known keys.
+TEST(GoldenTest, ErrorsInOperatorSettingsMatchTheGoldenFile) {
     std::string out;
     for (const char* text : {"[fleet]\nnonsense = 1\n", "[fleet]\ndear = 0\n", "[recovery]\ndirectory = here\n",
                              "[groups]\ntrain =\n", "dear = 2\n", "[fleet\n"}) {
         try {
             config::parse_operator_settings(text, "operators.ini");
             out += "taken\n";
-        } catch (const config::ConfigError& bad) {
-            out += std::string(bad.what()) + "\n";
+        } catch (const config::ConfigError& error) {
+            out += std::string(error.what()) + "\n";
         }
     }
     expect_golden("complaints_about_operators_settings.txt", out);
--- a/tests/incarnations_test.cpp
+++ b/tests/incarnations_test.cpp
@@ -1,4 +1,4 @@
-// A controller that restarts before its peers notice: messages of its previous incarnation are not taken for its own.
+// A controller restarts before its peers notice: delayed messages of its previous incarnation are recognized.
 #include "peer/incarnations.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that need others: when they start, and what becomes of them when one is cancelled.
+// Jobs with dependencies: when they start, and that they are aborted when a dependency is cancelled.
 #include "model/job.hpp"
 #include "model/task.hpp"
 #include "support/scheduler_harness.hpp"
@@ -19,25 +19,26 @@
         m2.zone = "b";
         record_format.all_read(state::newest_format);
     }
-    void meet(Worker& w) {
+    void register_worker(Worker& w) {
         heartbeat(w);
         heartbeat(w);
     }
-    static model::JobSpec after(const std::string& uid, std::vector<std::string> needs, JobKind kind = JobKind::array) {
+    static model::JobSpec dependent(const std::string& uid, std::vector<std::string> dependencies,
+                                    JobKind kind = JobKind::array) {
         auto s = job(uid, kind, 1);
-        s.dependencies = std::move(needs);
+        s.dependencies = std::move(dependencies);
         return s;
     }
-    void run(const std::string& uid, Worker& w) {
+    void run_job(const std::string& uid, Worker& w) {
         settle();
-        meet(w);
+        register_worker(w);
         ASSERT_TRUE(place()) << uid;
         heartbeat(w);
         w.run_all();
         heartbeat(w);
     }
-    // Its only task completes, and the leader puts that on record.
-    void finish(const std::string& uid, Worker& w) {
+    // The job's only task completes, and the leader writes the outcome.
+    void finish_job(const std::string& uid, Worker& w) {
         w.finish(uid, 0, ExitReason::done);
         heartbeat(w);
         commit();
@@ -48,12 +49,12 @@
 
 }  // namespace
 
-TEST_F(JobDependenciesTest, NothingIsPlacedBeforeAllDependenciesAreDoneOnRecord) {
+TEST_F(JobDependenciesTest, JobIsNotPlacedBeforeAllDependenciesAreStoredAsDone) {
     elect();
     accept(job("run-1", JobKind::array, 2));
-    accept(after("run-2", {"run-1"}));
+    accept(dependent("run-2", {"run-1"}));
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(place());
     heartbeat(m1);
     m1.run_all();
@@ -68,15 +69,15 @@
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
-TEST_F(JobDependenciesTest, LostWriteOfAnOutcomeIsReadAgainBeforeAnythingStarts) {
+TEST_F(JobDependenciesTest, OutcomeIsReadAgainAfterALostWriteResponse) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
-    run("run-1", m1);
+    accept(dependent("run-2", {"run-1"}));
+    run_job("run-1", m1);
     m1.finish("run-1", 0, ExitReason::done);
     heartbeat(m1);
     const auto batch = leader->next_batch(1000);
-    ASSERT_EQ(keys.commit(batch.txn).outcome, state::Outcome::ok);  // and the answer is lost
+    ASSERT_EQ(keys.commit(batch.txn).outcome, state::Outcome::ok);  // the response is lost
     EXPECT_FALSE(leader->place(now));
     for (const auto& key : batch.keys) leader->record_reread(keys.get(key), now);
     leader->batch_failed(batch);
@@ -86,13 +87,13 @@
 TEST_F(JobDependenciesTest, NewLeaderWaitsUntilItHasReadHowADependencyEnded) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    run("run-1", m1);
-    finish("run-1", m1);
-    accept(after("run-2", {"run-1"}));
+    run_job("run-1", m1);
+    finish_job("run-1", m1);
+    accept(dependent("run-2", {"run-1"}));
     EXPECT_TRUE(leader->keys_to_read().empty()) << "this leader remembers";
     elect();
     settle();
-    meet(m1);
+    register_worker(m1);
     EXPECT_FALSE(place());
     EXPECT_EQ(leader->keys_to_read(), std::vector<std::string>{"jobs/over/run-1"});
     read_missing();
@@ -100,16 +101,16 @@
     EXPECT_TRUE(leader->keys_to_read().empty());
 }
 
-TEST_F(JobDependenciesTest, LingeringRecordsAreNotTakenForADoneDependency) {
-    // run-1 was cancelled, and its work was not removed before the leader died. The next one knows that it is over and
-    // not how, until it reads that.
+TEST_F(JobDependenciesTest, LeftoverWorkRecordsDoNotCountAsADoneDependency) {
+    // run-1 was cancelled, and the leader died before it removed the work records. The next leader knows that the job
+    // has ended, but not whether it is done or cancelled until it reads the outcome.
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
+    accept(dependent("run-2", {"run-1"}));
     ASSERT_TRUE(cancel("run-1"));
     elect();
     settle();
-    meet(m1);
+    register_worker(m1);
     EXPECT_FALSE(place());
     read_missing();
     EXPECT_FALSE(place());
@@ -121,11 +122,11 @@
     elect();
     accept(job("run-9", JobKind::array, 1));
     leader.reset();
-    accept(after("run-2", {"run-1"}));
+    accept(dependent("run-2", {"run-1"}));
     accept(job("run-1", JobKind::array, 1));
     elect();
     settle();
-    meet(m1);
+    register_worker(m1);
     EXPECT_TRUE(place());
     EXPECT_EQ(machine_of("run-2", 0), "");
     EXPECT_TRUE(leader->keys_to_read().empty()) << "both are known by now";
@@ -134,13 +135,13 @@
 TEST_F(JobDependenciesTest, PlacedDependentContinuesUnderTheNextLeader) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
-    run("run-1", m1);
-    finish("run-1", m1);
-    run("run-2", m1);
+    accept(dependent("run-2", {"run-1"}));
+    run_job("run-1", m1);
+    finish_job("run-1", m1);
+    run_job("run-2", m1);
     elect();
     settle();
-    meet(m1);
+    register_worker(m1);
     EXPECT_TRUE(leader->keys_to_read().empty());
     m1.finish("run-2", 0, ExitReason::stopped);
     heartbeat(m1);
@@ -150,9 +151,9 @@
 TEST_F(JobDependenciesTest, CancelledJobAbortsDirectAndIndirectDependents) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
-    accept(after("run-3", {"run-1"}));
-    accept(after("run-4", {"run-2", "run-3"}));
+    accept(dependent("run-2", {"run-1"}));
+    accept(dependent("run-3", {"run-1"}));
+    accept(dependent("run-4", {"run-2", "run-3"}));
     accept(job("run-5", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
@@ -162,7 +163,7 @@
         EXPECT_FALSE(leader->knows(uid)) << uid;
     }
     EXPECT_EQ(state_of("run-5"), "open");
-    accept(after("run-6", {"run-4"}));
+    accept(dependent("run-6", {"run-4"}));
     commit();
     EXPECT_EQ(state_of("run-6"), "aborted") << "it names one that is cancelled already";
 }
@@ -170,24 +171,24 @@
 TEST_F(JobDependenciesTest, NextLeaderContinuesAbortingDependents) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    for (int i = 2; i < 12; ++i) accept(after("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)}));
+    for (int i = 2; i < 12; ++i) accept(dependent("run-" + std::to_string(i), {"run-" + std::to_string(i - 1)}));
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
     lower_limits(2048, 4);
-    ASSERT_TRUE(commit_one());  // of three that it takes
+    ASSERT_TRUE(commit_one());  // the first of three transactions
     elect();
     read_missing();
     commit();
     for (int i = 2; i < 12; ++i) EXPECT_EQ(state_of("run-" + std::to_string(i)), "aborted") << i;
 }
 
-TEST_F(JobDependenciesTest, HundredsOfAbortsPrecedeAllBookkeeping) {
+TEST_F(JobDependenciesTest, HundredsOfAbortsAreCommittedBeforeOtherRecords) {
     elect();
     for (int i = 0; i < 20; ++i) accept(job("run-a" + std::to_string(i), JobKind::array, 1));
     accept(job("run-1", JobKind::array, 1));
-    for (int i = 0; i < 300; ++i) accept(after("run-b" + std::to_string(i), {"run-1"}));
+    for (int i = 0; i < 300; ++i) accept(dependent("run-b" + std::to_string(i), {"run-1"}));
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(leader->place(now));
     ASSERT_TRUE(cancel("run-1"));
     tell("run-1");
@@ -200,9 +201,9 @@
     elect();
     accept(job("run-1", JobKind::array, 1));
     ASSERT_TRUE(cancel("run-1"));
-    accept(after("run-2", {"run-1"}));  // known before the cancellation
+    accept(dependent("run-2", {"run-1"}));  // the leader learns of run-2 before the cancellation
     settle();
-    meet(m1);
+    register_worker(m1);
     place();
     EXPECT_EQ(machine_of("run-2", 0), "");
     tell("run-1");
@@ -213,11 +214,11 @@
 TEST_F(JobDependenciesTest, CancellationAfterTheEndLetsTheDependentContinue) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
-    run("run-1", m1);
-    finish("run-1", m1);
+    accept(dependent("run-2", {"run-1"}));
+    run_job("run-1", m1);
+    finish_job("run-1", m1);
     EXPECT_FALSE(cancel("run-1"));
-    meet(m1);
+    register_worker(m1);
     EXPECT_TRUE(place());
     EXPECT_EQ(state_of("run-2"), "open");
 }
@@ -227,7 +228,7 @@
     auto first = job("run-1", JobKind::array, 1);
     first.priority = Priority::idle;
     accept(first);
-    auto last = after("run-2", {"run-1"});
+    auto last = dependent("run-2", {"run-1"});
     last.priority = Priority::high;
     accept(last);
     EXPECT_EQ(leader->job("run-1")->priority, Priority::high);
@@ -242,9 +243,9 @@
 TEST_F(JobDependenciesTest, WaitingDependentCausesNoScaleOutReservationOrPreemptionAndUsesNoQuota) {
     elect();
     auto first = job("run-1", JobKind::array, 1);
-    first.team = "limited";  // two such tasks fill its limit
+    first.team = "limited";  // two such tasks use up the team's limit
     accept(first);
-    auto waiting = after("run-2", {"run-1"}, JobKind::gang);
+    auto waiting = dependent("run-2", {"run-1"}, JobKind::gang);
     waiting.tasks = 2;
     waiting.team = "limited";
     waiting.priority = Priority::critical;
@@ -255,7 +256,7 @@
     accept(other);
     settle();
     EXPECT_EQ(leader->scale_out(now).size(), 1u);
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(leader->job("run-1")->placed + leader->job("run-3")->placed, 2u);
     EXPECT_TRUE(leader->scale_out(now).empty());
@@ -270,11 +271,11 @@
     auto shorter = job("run-0", JobKind::array, 2);
     shorter.estimated_runtime = Seconds(5);
     accept(shorter);
-    auto last = after("run-2", {"run-1"});
+    auto last = dependent("run-2", {"run-1"});
     last.priority = Priority::high;
     accept(last);
     settle();
-    meet(m1);
+    register_worker(m1);
     ASSERT_TRUE(place());
     EXPECT_EQ(machine_of("run-1", 0), "n-000001");
     EXPECT_EQ(machine_of("run-0", 0), "");
@@ -283,11 +284,11 @@
 TEST_F(JobDependenciesTest, WaitCountsFromTheLastDependencysEndUnderTheNextLeaderToo) {
     elect();
     accept(job("run-1", JobKind::array, 1));
-    accept(after("run-2", {"run-1"}));
-    run("run-1", m1);
+    accept(dependent("run-2", {"run-1"}));
+    run_job("run-1", m1);
     pass(Seconds(300));
     wall_ms = 1'300'000;
-    finish("run-1", m1);
+    finish_job("run-1", m1);
     EXPECT_EQ(leader->job("run-2")->arrived, now);
     EXPECT_EQ(leader->job("run-2")->window, 1'300'000 / 5'000);
     elect();
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats that a follower relays to the leader: messages that are lost, late, repeated or overtaken.
+// Heartbeats that a follower relays to the leader: messages that are lost, delayed, repeated or reordered.
 #include <gtest/gtest.h>
 
 #include "model/command.hpp"
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t relay_incarnation = 7, leader_incarnation = 40, term = 5;
 
-// A relay and the messages that it sends. The test answers as the leader.
+// A relay and the messages that it sends. The test responds as the leader.
 struct HeartbeatRelayTest : ::testing::Test {
     TimePoint now{std::chrono::seconds(1000)};
     const bool simulated = (model::Clock::simulated = &now) != nullptr;
@@ -26,19 +26,19 @@
     net::asio::io_context io;
     config::Settings cluster = settings();
     std::vector<std::pair<std::string, peer::RelayMessage>> sent;
-    bool link_up = true;
+    bool connected = true;
     peer::HeartbeatRelay relay{io.get_executor(), cluster, relay_incarnation,
                                [this](const std::string& member, const peer::RelayMessage& m) {
-                                   if (link_up) sent.emplace_back(member, peer::decode_relay(peer::encode(m)));
-                                   return link_up;
+                                   if (connected) sent.emplace_back(member, peer::decode_relay(peer::encode(m)));
+                                   return connected;
                                }};
-    struct Told {
-        bool over = false;
-        std::optional<peer::LeaderResponse> answer;
+    struct RelayResult {
+        bool finished = false;
+        std::optional<peer::LeaderResponse> response;
     };
-    std::vector<std::shared_ptr<Told>> asked;
+    std::vector<std::shared_ptr<RelayResult>> results;
 
-    static model::Heartbeat report(const std::string& machine, std::uint64_t sequence, std::uint32_t tasks) {
+    static model::Heartbeat make_heartbeat(const std::string& machine, std::uint64_t sequence, std::uint32_t tasks) {
         model::Heartbeat r;
         r.machine = machine;
         r.addr = machine + ":9000";
@@ -56,26 +56,26 @@
         }
         return r;
     }
-    std::shared_ptr<Told> ask(model::Heartbeat r) {
-        auto told = std::make_shared<Told>();
-        net::asio::co_spawn(io, relay.relay(std::move(r)), [told](std::exception_ptr, auto answer) {
-            told->over = true;
-            told->answer = std::move(answer);
+    std::shared_ptr<RelayResult> relay_heartbeat(model::Heartbeat r) {
+        auto result = std::make_shared<RelayResult>();
+        net::asio::co_spawn(io, relay.relay(std::move(r)), [result](std::exception_ptr, auto response) {
+            result->finished = true;
+            result->response = std::move(response);
         });
-        pass(30ms);
-        return told;
+        advance(30ms);
+        return result;
     }
-    void pass(model::Clock::duration time) {
+    void advance(model::Clock::duration time) {
         for (const auto until = now + time; now < until;) {
             now += 5ms;
             io.restart();
             io.poll();
         }
     }
-    static peer::Leader leads(const std::string& member, std::uint64_t of_term = term) {
+    static peer::Leader leader(const std::string& member, std::uint64_t of_term = term) {
         return {member, leader_incarnation, of_term};
     }
-    static peer::RelayedResponse answer(std::uint64_t number, std::uint64_t fencing_token = term) {
+    static peer::RelayedResponse make_response(std::uint64_t number, std::uint64_t fencing_token = term) {
         peer::RelayedResponse a;
         a.number = number;
         a.outcome = peer::RelayOutcome::answered;
@@ -83,175 +83,175 @@
         a.commands.push_back({model::CommandType::run, {"run-2", 0}, 1, model::Seconds(0)});
         return a;
     }
-    void says(const std::string& member, peer::RelayedResponse a, std::uint64_t newest_term = term) {
+    void respond_as(const std::string& member, peer::RelayedResponse a, std::uint64_t newest_term = term) {
         peer::RelayMessage m;
         m.member = member;
         m.incarnation = leader_incarnation;
         m.receiver_incarnation = relay_incarnation;
         m.answers.push_back(std::move(a));
         relay.answered(peer::decode_relay(peer::encode(m)), newest_term);
-        pass(5ms);
+        advance(5ms);
     }
-    // The number of the newest report that was sent in full.
-    std::uint64_t full() const { return sent.back().second.reports.back().number; }
+    // The number of the newest heartbeat that was sent in full.
+    std::uint64_t last_full_number() const { return sent.back().second.reports.back().number; }
 };
 
 }  // namespace
 
 TEST_F(HeartbeatRelayTest, UnchangedHeartbeatIsRelayedInAFewBytes) {
-    relay.set_leader(leads("one"));
-    peer::RelayedHeartbeatCache kept;
-    const auto first = ask(report("n-1", 10, 200));
+    relay.set_leader(leader("one"));
+    peer::RelayedHeartbeatCache cache;
+    const auto first = relay_heartbeat(make_heartbeat("n-1", 10, 200));
     ASSERT_EQ(sent.size(), 1u);
-    const auto whole = peer::encode(sent.back().second).size();
-    kept.keep("two", relay_incarnation, sent.back().second.reports.at(0));
-    says("one", answer(full()));
-    ASSERT_TRUE(first->answer);
-    EXPECT_EQ(first->answer->fencing_token, term);
-    EXPECT_EQ(first->answer->commands.size(), 1u);
+    const auto full_size = peer::encode(sent.back().second).size();
+    cache.keep("two", relay_incarnation, sent.back().second.reports.at(0));
+    respond_as("one", make_response(last_full_number()));
+    ASSERT_TRUE(first->response);
+    EXPECT_EQ(first->response->fencing_token, term);
+    EXPECT_EQ(first->response->commands.size(), 1u);
 
-    ask(report("n-1", 11, 200));
+    relay_heartbeat(make_heartbeat("n-1", 11, 200));
     ASSERT_EQ(sent.size(), 2u);
     ASSERT_EQ(sent.back().second.repeated.size(), 1u);
-    EXPECT_LT(peer::encode(sent.back().second).size() * 20, whole);
-    const auto* heard = kept.repeated("two", relay_incarnation, sent.back().second.repeated[0]);
-    ASSERT_TRUE(heard);
-    EXPECT_EQ(*heard, report("n-1", 11, 200));
-    EXPECT_FALSE(kept.repeated("two", relay_incarnation + 1, sent.back().second.repeated[0])) << "another process";
+    EXPECT_LT(peer::encode(sent.back().second).size() * 20, full_size);
+    const auto* repeated = cache.repeated("two", relay_incarnation, sent.back().second.repeated[0]);
+    ASSERT_TRUE(repeated);
+    EXPECT_EQ(*repeated, make_heartbeat("n-1", 11, 200));
+    EXPECT_FALSE(cache.repeated("two", relay_incarnation + 1, sent.back().second.repeated[0])) << "another process";
 }
 
-// Two reports of one worker under way, the later one a copy of what it held long ago.
-TEST_F(HeartbeatRelayTest, LateCopyIsNotWhatTheNextHeartbeatRepeats) {
-    relay.set_leader(leads("one"));
-    peer::RelayedHeartbeatCache kept;
-    ask(report("n-1", 10, 3));
-    const auto newest = full();
-    kept.keep("two", relay_incarnation, sent.back().second.reports.at(0));
-    ask(report("n-1", 4, 0));
-    kept.keep("two", relay_incarnation, sent.back().second.reports.at(0));
-    says("one", answer(newest));
+// Two heartbeats of one worker are in transit, and the second one is a delayed copy of an older state.
+TEST_F(HeartbeatRelayTest, NextHeartbeatDoesNotRepeatADelayedCopy) {
+    relay.set_leader(leader("one"));
+    peer::RelayedHeartbeatCache cache;
+    relay_heartbeat(make_heartbeat("n-1", 10, 3));
+    const auto newest = last_full_number();
+    cache.keep("two", relay_incarnation, sent.back().second.reports.at(0));
+    relay_heartbeat(make_heartbeat("n-1", 4, 0));
+    cache.keep("two", relay_incarnation, sent.back().second.reports.at(0));
+    respond_as("one", make_response(newest));
 
-    ask(report("n-1", 11, 3));
+    relay_heartbeat(make_heartbeat("n-1", 11, 3));
     const auto& message = sent.back().second;
     for (const auto& r : message.repeated) {
-        const auto* heard = kept.repeated("two", relay_incarnation, r);
-        EXPECT_TRUE(!heard || heard->tasks.size() == 3) << "three tasks run there";
+        const auto* repeated = cache.repeated("two", relay_incarnation, r);
+        EXPECT_TRUE(!repeated || repeated->tasks.size() == 3) << "three tasks run there";
     }
     for (const auto& r : message.reports) EXPECT_EQ(r.report.tasks.size(), 3u);
 }
 
 TEST_F(HeartbeatRelayTest, HeartbeatThatArrivesAfterANewerOneIsNotCached) {
-    peer::RelayedHeartbeatCache kept;
-    kept.keep("two", relay_incarnation, {9, 1, report("n-1", 12, 3)});
-    kept.keep("two", relay_incarnation, {8, 1, report("n-1", 11, 0)});
-    const auto* heard = kept.repeated("two", relay_incarnation, {10, 1, 13, 9});
-    ASSERT_TRUE(heard);
-    EXPECT_EQ(heard->tasks.size(), 3u);
-    EXPECT_FALSE(kept.repeated("two", relay_incarnation, {11, 1, 14, 8}));
+    peer::RelayedHeartbeatCache cache;
+    cache.keep("two", relay_incarnation, {9, 1, make_heartbeat("n-1", 12, 3)});
+    cache.keep("two", relay_incarnation, {8, 1, make_heartbeat("n-1", 11, 0)});
+    const auto* repeated = cache.repeated("two", relay_incarnation, {10, 1, 13, 9});
+    ASSERT_TRUE(repeated);
+    EXPECT_EQ(repeated->tasks.size(), 3u);
+    EXPECT_FALSE(cache.repeated("two", relay_incarnation, {11, 1, 14, 8}));
 }
 
 TEST_F(HeartbeatRelayTest, HeartbeatUnknownToTheLeaderIsSentInFull) {
-    relay.set_leader(leads("one"));
-    ask(report("n-1", 10, 2));
-    says("one", answer(full()));
-    const auto again = ask(report("n-1", 11, 2));
+    relay.set_leader(leader("one"));
+    relay_heartbeat(make_heartbeat("n-1", 10, 2));
+    respond_as("one", make_response(last_full_number()));
+    const auto again = relay_heartbeat(make_heartbeat("n-1", 11, 2));
     peer::RelayedResponse unknown;
     unknown.number = sent.back().second.repeated.at(0).number;
     unknown.outcome = peer::RelayOutcome::unknown_handle;
-    says("one", unknown);
-    pass(30ms);
+    respond_as("one", unknown);
+    advance(30ms);
     ASSERT_EQ(sent.back().second.reports.size(), 1u);
-    EXPECT_EQ(sent.back().second.reports[0].report, report("n-1", 11, 2));
-    EXPECT_FALSE(again->over);
-    says("one", answer(full()));
-    EXPECT_TRUE(again->answer);
+    EXPECT_EQ(sent.back().second.reports[0].report, make_heartbeat("n-1", 11, 2));
+    EXPECT_FALSE(again->finished);
+    respond_as("one", make_response(last_full_number()));
+    EXPECT_TRUE(again->response);
 }
 
 TEST_F(HeartbeatRelayTest, PendingHeartbeatsGoToTheNextLeaderAndOldResponsesAreIgnored) {
-    relay.set_leader(leads("one"));
-    const auto waiting = ask(report("n-1", 10, 2));
-    const auto number = full();
+    relay.set_leader(leader("one"));
+    const auto waiting = relay_heartbeat(make_heartbeat("n-1", 10, 2));
+    const auto number = last_full_number();
     relay.set_leader(std::nullopt);
-    relay.set_leader(leads("three", term + 1));
-    pass(30ms);
+    relay.set_leader(leader("three", term + 1));
+    advance(30ms);
     ASSERT_EQ(sent.back().first, "three");
-    EXPECT_EQ(sent.back().second.reports.at(0).report, report("n-1", 10, 2));
-    says("one", answer(number));
-    EXPECT_FALSE(waiting->over);
-    says("three", answer(full(), term + 1), term + 1);
-    ASSERT_TRUE(waiting->answer);
-    EXPECT_EQ(waiting->answer->fencing_token, term + 1);
+    EXPECT_EQ(sent.back().second.reports.at(0).report, make_heartbeat("n-1", 10, 2));
+    respond_as("one", make_response(number));
+    EXPECT_FALSE(waiting->finished);
+    respond_as("three", make_response(last_full_number(), term + 1), term + 1);
+    ASSERT_TRUE(waiting->response);
+    EXPECT_EQ(waiting->response->fencing_token, term + 1);
 }
 
 TEST_F(HeartbeatRelayTest, ResponseOfASupersededTermIsNotForwarded) {
-    relay.set_leader(leads("one"));
-    const auto overtaken = ask(report("n-1", 10, 2));
-    says("one", answer(full()), term + 1);
-    EXPECT_TRUE(overtaken->over);
-    EXPECT_FALSE(overtaken->answer);
-    // The same leader has won another term between the report and its answer.
-    relay.set_leader(leads("one", term + 2));
-    const auto older = ask(report("n-1", 11, 2));
-    says("one", answer(full(), term), term + 2);
-    EXPECT_FALSE(older->answer);
-    const auto newer = ask(report("n-1", 12, 2));
-    says("one", answer(full(), term + 2), term + 2);
-    EXPECT_TRUE(newer->answer);
+    relay.set_leader(leader("one"));
+    const auto overtaken = relay_heartbeat(make_heartbeat("n-1", 10, 2));
+    respond_as("one", make_response(last_full_number()), term + 1);
+    EXPECT_TRUE(overtaken->finished);
+    EXPECT_FALSE(overtaken->response);
+    // The same leader is elected for a new term between the heartbeat and the response.
+    relay.set_leader(leader("one", term + 2));
+    const auto older = relay_heartbeat(make_heartbeat("n-1", 11, 2));
+    respond_as("one", make_response(last_full_number(), term), term + 2);
+    EXPECT_FALSE(older->response);
+    const auto newer = relay_heartbeat(make_heartbeat("n-1", 12, 2));
+    respond_as("one", make_response(last_full_number(), term + 2), term + 2);
+    EXPECT_TRUE(newer->response);
 }
 
-TEST_F(HeartbeatRelayTest, ResponseDelayedBeyondTheWorkersTimeoutReachesNobody) {
-    relay.set_leader(leads("one"));
-    const auto late = ask(report("n-1", 10, 2));
-    const auto number = full();
-    pass(4s);
-    EXPECT_TRUE(late->over) << "it is told 503, and goes to another controller";
-    EXPECT_FALSE(late->answer);
-    const auto next = ask(report("n-1", 11, 2));
-    says("one", answer(number));
-    EXPECT_FALSE(next->over) << "the answer is to the report before";
+TEST_F(HeartbeatRelayTest, ResponseDelayedBeyondTheWorkersTimeoutIsIgnored) {
+    relay.set_leader(leader("one"));
+    const auto late = relay_heartbeat(make_heartbeat("n-1", 10, 2));
+    const auto number = last_full_number();
+    advance(4s);
+    EXPECT_TRUE(late->finished) << "it is told 503, and goes to another controller";
+    EXPECT_FALSE(late->response);
+    const auto next = relay_heartbeat(make_heartbeat("n-1", 11, 2));
+    respond_as("one", make_response(number));
+    EXPECT_FALSE(next->finished) << "the answer is to the report before";
     EXPECT_EQ(relay.waiting(), 1u);
 }
 
-TEST_F(HeartbeatRelayTest, KeepsTryingWhileCutOffFromTheLeaderAndForgetsNothing) {
-    relay.set_leader(leads("one"));
-    link_up = false;
-    const auto waiting = ask(report("n-1", 10, 2));
-    pass(1s);
+TEST_F(HeartbeatRelayTest, PendingHeartbeatIsSentAgainAfterTheConnectionToTheLeaderIsRestored) {
+    relay.set_leader(leader("one"));
+    connected = false;
+    const auto waiting = relay_heartbeat(make_heartbeat("n-1", 10, 2));
+    advance(1s);
     EXPECT_TRUE(sent.empty());
-    link_up = true;
-    relay.set_leader(leads("one"));  // it is heard again
-    pass(30ms);
+    connected = true;
+    relay.set_leader(leader("one"));  // the connection is restored
+    advance(30ms);
     ASSERT_EQ(sent.size(), 1u);
-    // The link breaks with the report on its way.
+    // The connection breaks while the heartbeat is in transit.
     relay.link_lost("one");
-    relay.set_leader(leads("one"));
-    pass(30ms);
+    relay.set_leader(leader("one"));
+    advance(30ms);
     ASSERT_EQ(sent.size(), 2u);
     EXPECT_EQ(sent[1].second.reports.at(0).number, sent[0].second.reports.at(0).number);
-    says("one", answer(full()));
-    EXPECT_TRUE(waiting->answer);
+    respond_as("one", make_response(last_full_number()));
+    EXPECT_TRUE(waiting->response);
 }
 
 TEST_F(HeartbeatRelayTest, RefusesMoreHeartbeatsThanSocketsAllow) {
     cluster.max_sockets = 3;
-    relay.set_leader(leads("one"));
-    std::vector<std::shared_ptr<Told>> all;
-    for (int i = 0; i < 4; ++i) all.push_back(ask(report("n-" + std::to_string(i), 1, 1)));
-    EXPECT_FALSE(all[2]->over);
-    EXPECT_TRUE(all[3]->over);
-    EXPECT_FALSE(all[3]->answer);
+    relay.set_leader(leader("one"));
+    std::vector<std::shared_ptr<RelayResult>> all;
+    for (int i = 0; i < 4; ++i) all.push_back(relay_heartbeat(make_heartbeat("n-" + std::to_string(i), 1, 1)));
+    EXPECT_FALSE(all[2]->finished);
+    EXPECT_TRUE(all[3]->finished);
+    EXPECT_FALSE(all[3]->response);
 }
 
-TEST_F(HeartbeatRelayTest, HeartbeatsOfOneMomentShareAMessage) {
-    relay.set_leader(leads("one"));
+TEST_F(HeartbeatRelayTest, SimultaneousHeartbeatsShareAMessage) {
+    relay.set_leader(leader("one"));
     for (int i = 0; i < 50; ++i)
-        net::asio::co_spawn(io, relay.relay(report("n-" + std::to_string(i), 1, 5)), net::asio::detached);
-    pass(30ms);
+        net::asio::co_spawn(io, relay.relay(make_heartbeat("n-" + std::to_string(i), 1, 5)), net::asio::detached);
+    advance(30ms);
     ASSERT_EQ(sent.size(), 2u) << "the first at once, the others together";
     EXPECT_EQ(sent[1].second.reports.size(), 49u);
 }
 
-TEST(RelayMessageTest, InvalidMessageIsAnErrorAndAnOldVersionTakesNoPart) {
+TEST(RelayMessageTest, InvalidMessageThrowsAndAnOldVersionDoesNotRelay) {
     EXPECT_THROW(peer::decode_relay("nonsense"), std::exception);
     peer::StatusMessage status;
     status.member = "one";
--- a/tests/submission_checks_test.cpp
+++ b/tests/submission_checks_test.cpp
@@ -1,32 +1,32 @@
-// What a poll or a cancellation reports: from the cache, from checks under way, and in an outage.
+// Statuses reported by polls and cancellations: from the cache, during concurrent checks, and in an outage.
 #include "support/submission_fixture.hpp"
 
 namespace flintdale::test {
 
 TEST_F(SubmissionServiceTest, NoControllerAnswersFromAStaleCache) {
-    ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
-    ASSERT_EQ(run(two.poll("run-1")).status, 200u);
-    ASSERT_NE(run(one.cancel("run-1")).body.find("aborted"), std::string::npos);
-    EXPECT_NE(run(two.poll("run-1")).body.find("aborted"), std::string::npos);
-    EXPECT_NE(run(two.submit(body("run-1"))).body.find("aborted"), std::string::npos);
+    ASSERT_EQ(run(service_1.submit(body("run-1"))).status, 201u);
+    ASSERT_EQ(run(service_2.poll("run-1")).status, 200u);
+    ASSERT_NE(run(service_1.cancel("run-1")).body.find("aborted"), std::string::npos);
+    EXPECT_NE(run(service_2.poll("run-1")).body.find("aborted"), std::string::npos);
+    EXPECT_NE(run(service_2.submit(body("run-1"))).body.find("aborted"), std::string::npos);
 }
 
 TEST_F(SubmissionServiceTest, OnlyFinalStatesAreReportedDuringAnOutage) {
-    ASSERT_EQ(run(one.submit(body("run-1"))).status, 201u);
-    ASSERT_EQ(run(one.submit(body("run-2"))).status, 201u);
-    ASSERT_EQ(run(one.cancel("run-2")).status, 200u);
+    ASSERT_EQ(run(service_1.submit(body("run-1"))).status, 201u);
+    ASSERT_EQ(run(service_1.submit(body("run-2"))).status, 201u);
+    ASSERT_EQ(run(service_1.cancel("run-2")).status, 200u);
     store.refuse = true;
-    EXPECT_EQ(run(one.poll("run-1")).status, 503u);
-    EXPECT_EQ(run(one.poll("run-2")).status, 200u);
-    EXPECT_EQ(run(one.cancel("run-1")).status, 503u);
+    EXPECT_EQ(run(service_1.poll("run-1")).status, 503u);
+    EXPECT_EQ(run(service_1.poll("run-2")).status, 200u);
+    EXPECT_EQ(run(service_1.cancel("run-1")).status, 503u);
 }
 
 TEST_F(SubmissionServiceTest, ConcurrentPollsShareTheirChecks) {
-    for (int i = 0; i < 20; ++i) ASSERT_EQ(run(one.submit(body("run-" + std::to_string(i)))).status, 201u);
+    for (int i = 0; i < 20; ++i) ASSERT_EQ(run(service_1.submit(body("run-" + std::to_string(i)))).status, 201u);
     store.commits = 0;
     int good = 0;
     for (int i = 0; i < 20; ++i)
-        net::asio::co_spawn(io, one.poll("run-" + std::to_string(i)),
+        net::asio::co_spawn(io, service_1.poll("run-" + std::to_string(i)),
                             [&](std::exception_ptr, net::Reply r) { good += r.status == 200; });
     io.restart();
     io.run();
@@ -34,12 +34,12 @@
     EXPECT_LE(store.commits, 2);
 }
 
-// What is known of jobs is a cache, and may be emptied of what somebody is just being answered by: accepted jobs were
-// answered with 404, for the look-up after the check found no entry (docs/incidents/cache-emptied-in-use.md).
-TEST_F(SubmissionServiceTest, CacheSmallerThanTheNumberOfJobsForgetsNone) {
+// Accepted jobs got status 404, because the cache had evicted them between the check and a later lookup
+// (docs/incidents/cache-emptied-in-use.md).
+TEST_F(SubmissionServiceTest, NoAcceptedJobIsUnknownWithACacheSmallerThanTheNumberOfJobs) {
     api::SubmissionService small{io.get_executor(), store, cluster, record_format, memory, callbacks(), 1};
-    for (int i = 1; i <= 6; ++i) ASSERT_EQ(run(two.submit(body("run-" + std::to_string(i)))).status, 201u);
-    end("run-5", "done");
+    for (int i = 1; i <= 6; ++i) ASSERT_EQ(run(service_2.submit(body("run-" + std::to_string(i)))).status, 201u);
+    store_outcome("run-5", "done");
     for (int round = 0; round < 3; ++round) {
         std::vector<net::awaitable<net::Reply>> calls;
         for (int i = 1; i <= 6; ++i) calls.push_back(small.poll("run-" + std::to_string(i)));
@@ -53,11 +53,11 @@
     EXPECT_EQ(run(small.poll("run-7")).status, 404u);
 }
 
-// One comparison without an answer held back all questions that came after it, until their users had gone.
-TEST_F(SubmissionServiceTest, UnansweredComparisonBlocksNoOther) {
+// One comparison without a response blocked all later checks until their clients had timed out.
+TEST_F(SubmissionServiceTest, ComparisonWithoutResponseBlocksNoOtherCheck) {
     model::TimePoint now{std::chrono::seconds(1000)};
     model::Clock::simulated = &now;
-    const auto began = now;
+    const auto start = now;
     for (const auto* uid : {"run-1", "run-2"}) {
         state::Txn txn;
         txn.changes.push_back(
@@ -68,72 +68,72 @@
         net::asio::io_context simulated;
         api::SubmissionService submissions{
             simulated.get_executor(), store, cluster, record_format, memory, callbacks(), 100};
-        std::map<std::string, std::pair<unsigned, model::Seconds>> answers;
-        const auto ask = [&](const std::string& uid) {
+        std::map<std::string, std::pair<unsigned, model::Seconds>> replies;
+        const auto start_poll = [&](const std::string& uid) {
             net::asio::co_spawn(simulated, submissions.poll(uid), [&, uid](std::exception_ptr, net::Reply r) {
-                answers[uid] = {r.status, now - began};
+                replies[uid] = {r.status, now - start};
             });
             simulated.poll();
         };
         store.stall = 1;
-        ask("run-1");
-        ask("run-2");
-        for (int i = 0; i < 600 && answers.size() < 2; ++i) {
+        start_poll("run-1");
+        start_poll("run-2");
+        for (int i = 0; i < 600 && replies.size() < 2; ++i) {
             now += std::chrono::milliseconds(5);
             simulated.restart();
             simulated.poll();
         }
-        ASSERT_EQ(answers.size(), 2u);
-        EXPECT_EQ(answers["run-2"].first, 200u);
-        EXPECT_LT(answers["run-2"].second, model::Seconds(0.2));
-        EXPECT_EQ(answers["run-1"].first, 503u) << "whoever asked for it is answered in time, and retries";
-        EXPECT_LE(answers["run-1"].second, model::Seconds(2.01));
+        ASSERT_EQ(replies.size(), 2u);
+        EXPECT_EQ(replies["run-2"].first, 200u);
+        EXPECT_LT(replies["run-2"].second, model::Seconds(0.2));
+        EXPECT_EQ(replies["run-1"].first, 503u) << "whoever asked for it is answered in time, and retries";
+        EXPECT_LE(replies["run-1"].second, model::Seconds(2.01));
     }
     model::Clock::simulated = nullptr;
 }
 
 TEST_F(SubmissionServiceTest, RememberedOpenJobNeedsOneComparisonAndNoRead) {
-    ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
+    ASSERT_EQ(run(service_2.submit(body("run-1"))).status, 201u);
     memory.open_records["run-1"] = store.keys.get("jobs/work/run-1");
     memory.jobs["run-1"] = {};
     store.gets = 0;
-    EXPECT_EQ(polled_status(one, "run-1"), "pending");
+    EXPECT_EQ(polled_status(service_1, "run-1"), "pending");
     EXPECT_EQ(store.gets, 0);
-    ASSERT_EQ(run(two.cancel("run-1")).status, 200u);
-    EXPECT_EQ(polled_status(one, "run-1"), "aborted") << "a memory is no word on whether it is still open";
+    ASSERT_EQ(run(service_2.cancel("run-1")).status, 200u);
+    EXPECT_EQ(polled_status(service_1, "run-1"), "aborted") << "a memory is no word on whether it is still open";
 }
 
-// A poll and a cancellation cross: what is known by the time of the answer counts.
+// A poll and a cancellation run concurrently. The poll reports the newest state that is known when it replies.
 TEST_F(SubmissionServiceTest, PollPendingWhenTheJobEndsReportsTheEnd) {
-    ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
-    ASSERT_EQ(polled_status(one, "run-1"), "pending");
+    ASSERT_EQ(run(service_2.submit(body("run-1"))).status, 201u);
+    ASSERT_EQ(polled_status(service_1, "run-1"), "pending");
     std::vector<net::awaitable<net::Reply>> calls;
-    calls.push_back(one.poll("run-1"));
-    calls.push_back(one.cancel("run-1"));
-    calls.push_back(one.submit(body("run-1")));
-    calls.push_back(one.poll("run-1"));
+    calls.push_back(service_1.poll("run-1"));
+    calls.push_back(service_1.cancel("run-1"));
+    calls.push_back(service_1.submit(body("run-1")));
+    calls.push_back(service_1.poll("run-1"));
     const auto replies = run_all(std::move(calls));
     EXPECT_EQ(status_in(replies[1]), "aborted");
     bool aborted = false;
     for (const auto& r : replies) EXPECT_EQ(r.status, 200u);
-    for (int i = 0; i < 3; ++i) aborted = aborted || status_in(run(one.poll("run-1"))) != "aborted";
+    for (int i = 0; i < 3; ++i) aborted = aborted || status_in(run(service_1.poll("run-1"))) != "aborted";
     EXPECT_FALSE(aborted);
-    EXPECT_EQ(status_in(run(one.submit(body("run-1", "nobody")))), "aborted");
+    EXPECT_EQ(status_in(run(service_1.submit(body("run-1", "nobody")))), "aborted");
 }
 
-TEST_F(SubmissionServiceTest, UnreadableRecordSaysNothingAndBlocksNoOther) {
-    ASSERT_EQ(run(two.submit(body("run-1"))).status, 201u);
+TEST_F(SubmissionServiceTest, UnreadableRecordGivesStatus503AndBlocksNoOtherJob) {
+    ASSERT_EQ(run(service_2.submit(body("run-1"))).status, 201u);
     state::Txn txn;
     txn.changes.push_back({"jobs/work/run-2", boost::json::array{1, 2}, 0});
     txn.changes.push_back({"jobs/over/run-3", boost::json::object{{"state", "elsewhere"}}, 0});
     store.keys.commit(txn);
     std::vector<net::awaitable<net::Reply>> calls;
-    for (const auto* uid : {"run-2", "run-3", "run-1"}) calls.push_back(one.poll(uid));
+    for (const auto* uid : {"run-2", "run-3", "run-1"}) calls.push_back(service_1.poll(uid));
     const auto replies = run_all(std::move(calls));
     EXPECT_EQ(replies[0].status, 503u);
     EXPECT_EQ(replies[1].status, 503u);
     EXPECT_EQ(replies[2].status, 200u);
-    EXPECT_EQ(run(one.cancel("run-2")).status, 503u);
+    EXPECT_EQ(run(service_1.cancel("run-2")).status, 503u);
 }
 
 }  // namespace flintdale::test
--- a/tests/support/submission_fixture.hpp
+++ b/tests/support/submission_fixture.hpp
@@ -1,4 +1,4 @@
-// Two controllers' submission services on one store, and what a test needs to ask them.
+// The submission services of two controllers on one store, with helpers to call them.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 namespace flintdale::test {
 
-// What the controller remembers of jobs, as a test sets it.
+// A controller's memory of jobs, set by the test.
 struct FakeJobMemory : api::JobMemory {
     std::map<std::string, api::RememberedJob> jobs;
     std::map<std::string, state::KeyValue> open_records;
@@ -41,8 +41,8 @@
     FakeJobMemory memory;
     std::set<std::string> reported_cancelled;
     state::RecordFormat record_format{cluster};
-    api::SubmissionService one{io.get_executor(), store, cluster, record_format, memory, callbacks(), 100},
-        two{io.get_executor(), store, cluster, record_format, memory, callbacks(), 100};
+    api::SubmissionService service_1{io.get_executor(), store, cluster, record_format, memory, callbacks(), 100},
+        service_2{io.get_executor(), store, cluster, record_format, memory, callbacks(), 100};
 
     api::SubmissionService::Callbacks callbacks() {
         api::SubmissionService::Callbacks callbacks;
@@ -52,7 +52,7 @@
         callbacks.record_observed = [](const state::KeyValue&) {};
         return callbacks;
     }
-    // Runs all calls at the same time, and returns their replies in the same order.
+    // Runs all calls concurrently and returns their replies in the same order.
     std::vector<net::Reply> run_all(std::vector<net::awaitable<net::Reply>> calls) {
         std::vector<net::Reply> replies(calls.size());
         for (std::size_t i = 0; i < calls.size(); ++i)
@@ -71,14 +71,14 @@
         EXPECT_EQ(replies.size(), 1u);
         return std::move(replies.front());
     }
-    // Puts the end of a job on record.
-    void end(const std::string& uid, const std::string& state) {
+    // Writes the outcome of a job to the store.
+    void store_outcome(const std::string& uid, const std::string& state) {
         state::Txn txn;
         txn.changes.push_back(
             {"jobs/over/" + uid, boost::json::object{{"state", state}, {"shape", "array"}, {"shards", 1}}, 0});
         store.keys.commit(txn);
     }
-    // The status that a poll reports; empty if it reports none.
+    // The status that a poll reports; empty if its HTTP status is not 200.
     std::string polled_status(api::SubmissionService& submissions, const std::string& uid) {
         return status_in(run(submissions.poll(uid)));
     }
@@ -94,7 +94,7 @@
                R"("flush_s":0.0,"due_s":null})";
     }
     // A submission that depends on other jobs.
-    static std::string body_after(const std::string& uid, const std::string& dependencies) {
+    static std::string dependent_body(const std::string& uid, const std::string& dependencies) {
         auto text = body(uid);
         text.pop_back();
         return text + R"(,"prereqs":)" + dependencies + "}";
