--- a/src/api/job_checks.cpp
+++ b/src/api/job_checks.cpp
@@ -80,7 +80,7 @@
     const std::string uid = check->uid;
     for (int attempt = 0; attempt < max_attempts; ++attempt) {
         if (!check->completed) {
-            auto [error] = co_await check->completion_timer.async_wait(net::use_nothrow_awaitable);
+            auto [error] = co_await check->completion_timer.async_wait(net::quietly);
             (void)error;
         }
         const auto finding = check->finding;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,6 +1,5 @@
-// The settings that the platform gives a controller (TOML file): its identity, the cluster, and the limits of the
-// services that it uses. The operators' settings are in operator_settings.hpp. Settings do not change while a
-// controller runs.
+// The settings that the platform gives a controller (TOML file): its identity, the cluster, and service limits. They do
+// not change while a controller runs. The operators' settings are in operator_settings.hpp.
 #pragma once
 #include <cstdint>
 #include <optional>
--- a/src/load_test/line_channel.cpp
+++ b/src/load_test/line_channel.cpp
@@ -8,8 +8,7 @@
     : ex_(ex), in_(ex, read_from), out_(ex, write_to) {}
 
 awaitable<std::optional<std::string>> LineChannel::read_line() {
-    auto [ec, size] =
-        co_await asio::async_read_until(in_, asio::dynamic_buffer(read_), '\n', net::use_nothrow_awaitable);
+    auto [ec, size] = co_await asio::async_read_until(in_, asio::dynamic_buffer(read_), '\n', net::quietly);
     if (ec) co_return std::nullopt;
     std::string line = read_.substr(0, size - 1);
     read_.erase(0, size);
@@ -28,7 +27,7 @@
     while (!waiting_.empty()) {
         std::string sending;
         sending.swap(waiting_);
-        auto [ec, size] = co_await asio::async_write(out_, asio::buffer(sending), net::use_nothrow_awaitable);
+        auto [ec, size] = co_await asio::async_write(out_, asio::buffer(sending), net::quietly);
         if (ec) co_return;
     }
     writing_ = false;
--- a/src/load_test/link_proxy.cpp
+++ b/src/load_test/link_proxy.cpp
@@ -28,7 +28,7 @@
 
 awaitable<void> LinkProxy::accept_loop() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(net::use_nothrow_awaitable);
+        auto [ec, socket] = co_await acceptor_.async_accept(net::quietly);
         if (ec) {
             co_await net::sleep_for(50ms);
             continue;
@@ -39,7 +39,7 @@
 
 awaitable<void> LinkProxy::pass(net::tcp::socket near) {
     auto pair = std::make_shared<Pair>(Pair{std::move(near), net::tcp::socket(ex_)});
-    auto [ec] = co_await pair->far.async_connect(target_, net::use_nothrow_awaitable);
+    auto [ec] = co_await pair->far.async_connect(target_, net::quietly);
     if (ec) co_return;
     boost::system::error_code ignored;
     pair->near.set_option(net::tcp::no_delay(true), ignored);
@@ -53,11 +53,10 @@
     auto& to = forward ? pair->far : pair->near;
     std::vector<char> buffer(buffer_size);
     for (;;) {
-        auto [rec, size] = co_await from.async_read_some(asio::buffer(buffer), net::use_nothrow_awaitable);
+        auto [rec, size] = co_await from.async_read_some(asio::buffer(buffer), net::quietly);
         if (rec) break;
         bytes_ += size;
-        auto [wec, written] =
-            co_await asio::async_write(to, asio::buffer(buffer.data(), size), net::use_nothrow_awaitable);
+        auto [wec, written] = co_await asio::async_write(to, asio::buffer(buffer.data(), size), net::quietly);
         if (wec) break;
     }
     pair->close();
--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -36,14 +36,14 @@
 using Timer = asio::basic_waitable_timer<model::Clock, WaitTraits>;
 
 // Completion token: the coroutine gets a tuple with the error code instead of an exception.
-inline constexpr auto use_nothrow_awaitable = asio::experimental::as_tuple(asio::use_awaitable);
+inline constexpr auto quietly = asio::experimental::as_tuple(asio::use_awaitable);
 
 // Waits for the duration; false if the wait was cancelled.
 inline awaitable<bool> sleep_for(model::Clock::duration d) {
     auto ex = co_await asio::this_coro::executor;
     Timer timer(ex);
     timer.expires_after(d);
-    auto [ec] = co_await timer.async_wait(use_nothrow_awaitable);
+    auto [ec] = co_await timer.async_wait(quietly);
     co_return !ec;
 }
 
@@ -59,7 +59,7 @@
     awaitable<void> wait(model::Clock::duration timeout) {
         if (!pending_) {
             timer_.expires_after(timeout);
-            auto [ec] = co_await timer_.async_wait(use_nothrow_awaitable);
+            auto [ec] = co_await timer_.async_wait(quietly);
             (void)ec;
         }
         pending_ = false;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -26,7 +26,7 @@
         if (!failed) stream->socket().bind(tcp::endpoint(asio::ip::make_address(source_), 0), failed);
         if (failed) co_return nullptr;
     }
-    auto [ec] = co_await stream->async_connect(endpoint_, use_nothrow_awaitable);
+    auto [ec] = co_await stream->async_connect(endpoint_, quietly);
     if (ec) co_return nullptr;
     boost::system::error_code ignored;
     stream->socket().set_option(tcp::no_delay(true), ignored);
@@ -64,13 +64,13 @@
 awaitable<HttpClient::Exchange> HttpClient::exchange(Stream& stream, Message message, TimePoint deadline,
                                                      HttpAnswer& answer) {
     stream.expires_at(deadline);
-    auto [wec, written] = co_await http::async_write(stream, message, use_nothrow_awaitable);
+    auto [wec, written] = co_await http::async_write(stream, message, quietly);
     answer.bytes_sent += written;
     if (wec) co_return wec == beast::error::timeout ? Exchange::failed : Exchange::connection_lost;
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_response);
-    auto [rec, read] = co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
+    auto [rec, read] = co_await http::async_read(stream, buffer, parser, quietly);
     answer.bytes_received += read;
     if (rec) {
         const bool closed = rec == http::error::end_of_stream || rec == asio::error::connection_reset;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -49,7 +49,7 @@
 
 awaitable<void> HttpServer::accept_loop() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(use_nothrow_awaitable);
+        auto [ec, socket] = co_await acceptor_.async_accept(quietly);
         if (!acceptor_.is_open()) co_return;
         if (ec) {
             // Usually the process is out of file descriptors. Waiting for some to close avoids a busy loop.
@@ -81,11 +81,11 @@
     if (buffer.size() == 0) {
         // The long limit applies to the first byte and the short one to the rest, so that a client that sends its
         // request byte by byte occupies a session for seconds, not minutes.
-        auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, use_nothrow_awaitable);
+        auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, quietly);
         if (wec) co_return ReadResult::connection_ended;
     }
     stream.expires_after(request_limit);
-    auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, use_nothrow_awaitable);
+    auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, quietly);
     if (!ec) {
         ++traffic_.requests;
         traffic_.bytes_in += bytes;
@@ -102,7 +102,7 @@
                                                       : "{\"error\":\"request: malformed\"}";
     auto response = to_response(std::move(reply), http_1_1, false);
     stream.expires_after(write_limit);
-    co_await http::async_write(stream, response, use_nothrow_awaitable);
+    co_await http::async_write(stream, response, quietly);
     boost::system::error_code ignored;
     stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
@@ -142,7 +142,7 @@
         auto reply = co_await handle(std::move(request));
         auto response = to_response(std::move(reply), version, keep_alive);
         stream.expires_after(write_limit);
-        auto [wec, written] = co_await http::async_write(stream, response, use_nothrow_awaitable);
+        auto [wec, written] = co_await http::async_write(stream, response, quietly);
         traffic_.bytes_out += written;
         if (wec || !keep_alive) co_return;
     }
--- a/src/peer/heartbeat_relay.cpp
+++ b/src/peer/heartbeat_relay.cpp
@@ -121,7 +121,7 @@
     pending->timer.expires_after(response_timeout);
     if (leader_) send(number, *pending);
     if (!pending->finished) {
-        auto [ec] = co_await pending->timer.async_wait(net::use_nothrow_awaitable);
+        auto [ec] = co_await pending->timer.async_wait(net::quietly);
         (void)ec;
     }
     pending->finished = true;
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -75,7 +75,7 @@
     for (;;) {
         beast::tcp_stream stream(ex_);
         stream.expires_after(connect_limit);
-        auto [ec] = co_await stream.async_connect(endpoint, net::use_nothrow_awaitable);
+        auto [ec] = co_await stream.async_connect(endpoint, net::quietly);
         if (!ec) {
             boost::system::error_code ignored;
             stream.socket().set_option(net::tcp::no_delay(true), ignored);
@@ -102,19 +102,19 @@
         std::string acks(frames, '\0');
         sending += relayed;
         stream.expires_after(send_limit);
-        auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::use_nothrow_awaitable);
+        auto [wec, n] = co_await asio::async_write(stream, asio::buffer(sending), net::quietly);
         if (wec) co_return;
         // The peer acknowledges each frame. A sender that only writes does not notice that the peer has closed the
         // connection, as it does after the idle limit. Without acknowledgements, a controller whose process had paused
         // for that long kept writing to closed connections, and its peers received nothing more.
-        auto [rec, received] = co_await asio::async_read(stream, asio::buffer(acks), net::use_nothrow_awaitable);
+        auto [rec, received] = co_await asio::async_read(stream, asio::buffer(acks), net::quietly);
         if (rec) co_return;
     }
 }
 
 awaitable<void> PeerConnections::accept_loop() {
     for (;;) {
-        auto [ec, socket] = co_await acceptor_.async_accept(net::use_nothrow_awaitable);
+        auto [ec, socket] = co_await acceptor_.async_accept(net::quietly);
         if (ec) {
             co_await net::sleep_for(accept_retry_delay);
             continue;
@@ -145,13 +145,13 @@
     for (;;) {
         unsigned char header[header_size];
         stream.expires_after(idle_limit);
-        auto [hec, hn] = co_await asio::async_read(stream, asio::buffer(header), net::use_nothrow_awaitable);
+        auto [hec, hn] = co_await asio::async_read(stream, asio::buffer(header), net::quietly);
         if (hec) break;
         const std::size_t size = header[0] | header[1] << 8 | header[2] << 16;
         const auto kind = header[3];
         if (size == 0 || size > max_frame || kind > static_cast<unsigned char>(FrameKind::relay)) break;
         message.resize(size);
-        auto [bec, bn] = co_await asio::async_read(stream, asio::buffer(message), net::use_nothrow_awaitable);
+        auto [bec, bn] = co_await asio::async_read(stream, asio::buffer(message), net::quietly);
         if (bec) break;
         try {
             received(static_cast<FrameKind>(kind), message, connection);
@@ -159,7 +159,7 @@
             spdlog::error("event=peer_message_invalid why=\"{}\"", e.what());
             break;
         }
-        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&ack_byte, 1), net::use_nothrow_awaitable);
+        auto [rec, sent] = co_await asio::async_write(stream, asio::buffer(&ack_byte, 1), net::quietly);
         if (rec) break;
     }
     --open_incoming_;
--- a/src/state/request_limiter.cpp
+++ b/src/state/request_limiter.cpp
@@ -45,7 +45,7 @@
         net::asio::co_spawn(ex_, pump(lane), net::asio::detached);
     }
     if (!waiter->is_admitted) {
-        auto [ec] = co_await waiter->admitted.async_wait(net::use_nothrow_awaitable);
+        auto [ec] = co_await waiter->admitted.async_wait(net::quietly);
         (void)ec;
     }
 }
--- a/tests/support/fake_store.hpp
+++ b/tests/support/fake_store.hpp
@@ -46,7 +46,7 @@
             --stall;
             net::Timer never(ex);
             never.expires_at(model::TimePoint::max());
-            auto [ec] = co_await never.async_wait(net::use_nothrow_awaitable);
+            auto [ec] = co_await never.async_wait(net::quietly);
             (void)ec;
         }
         if (lose_answers > 0) {
