--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -24,7 +24,7 @@
     std::vector<std::string> machines;  // names of the launched machines, if granted
 };
 
-// The operations of the cloud. None throws on errors of the cloud or the network.
+// The interface of the cloud. No operation throws on errors of the cloud or the network.
 class Cloud {
   public:
     virtual ~Cloud() = default;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -79,8 +79,8 @@
                                                            Parser& parser) {
     stream.expires_after(idle_limit);
     if (buffer.size() == 0) {
-        // The long limit applies to the first byte and the short one to the rest, so that a client that sends its
-        // request byte by byte occupies a session for seconds, not minutes.
+        // The long limit applies to the first byte, the short one to the rest. So a client that sends its request byte
+        // by byte occupies a session for seconds, not minutes.
         auto [wec] = co_await stream.socket().async_wait(tcp::socket::wait_read, quietly);
         if (wec) co_return ReadResult::connection_ended;
     }
--- a/src/worker/client.hpp
+++ b/src/worker/client.hpp
@@ -8,7 +8,7 @@
 
 using net::awaitable;
 
-// The operations of workers. None throws on errors of a worker or the network.
+// The interface of workers. No operation throws on errors of a worker or the network.
 class Workers {
   public:
     virtual ~Workers() = default;
