--- a/tests/golden_services_test.cpp
+++ b/tests/golden_services_test.cpp
@@ -168,8 +168,8 @@
     parsed += print(client.service.run(client.store.range("c/", "c/9", priority)));
     client.service.add_reply(200, "nonsense");
     parsed += print(client.service.run(client.store.range("c/", "c/9", priority)));
-    expect_golden("state_reading_asked.txt", client.service.requests);
-    expect_golden("state_reading_understood.txt", parsed);
+    expect_golden("state_reads_requests.txt", client.service.requests);
+    expect_golden("state_reads_parsed.txt", parsed);
 }
 
 // A transaction with every kind of condition and change, with each response.
@@ -189,8 +189,8 @@
     comparison.conditions = {{"a/b", 0}};
     client.service.add_reply(200, R"({"epoch":433})");
     parsed += print(client.service.run(client.store.commit(comparison, priority)));
-    expect_golden("state_transactions_asked.txt", client.service.requests);
-    expect_golden("state_transactions_understood.txt", parsed);
+    expect_golden("state_transactions_requests.txt", client.service.requests);
+    expect_golden("state_transactions_parsed.txt", parsed);
 }
 
 // Watches of a prefix: writes, deletions, and a start revision that is too old.
@@ -204,8 +204,8 @@
     client.service.add_reply(503, "{}");
     for (int i = 0; i < 4; ++i)
         parsed += print(client.service.run(client.store.watch("c/", 431, std::chrono::milliseconds(10'000))));
-    expect_golden("state_watches_asked.txt", client.service.requests);
-    expect_golden("state_watches_understood.txt", parsed);
+    expect_golden("state_watches_requests.txt", client.service.requests);
+    expect_golden("state_watches_parsed.txt", parsed);
 }
 
 // Leases: granted, renewed and revoked.
@@ -225,8 +225,8 @@
     }
     client.service.add_reply(200, "{}");
     client.service.run(client.store.revoke(7));
-    expect_golden("state_leases_asked.txt", client.service.requests);
-    expect_golden("state_leases_understood.txt", parsed);
+    expect_golden("state_leases_requests.txt", client.service.requests);
+    expect_golden("state_leases_parsed.txt", parsed);
 }
 
 // The cloud's machine types, and its list of machines in pages.
@@ -245,8 +245,8 @@
     service.add_reply(200, golden("given_machines_last.json"));
     service.add_reply(503, "{}");
     for (int i = 0; i < 2; ++i) parsed += print(service.run(cloud.machines()));
-    expect_golden("cloud_reading_asked.txt", service.requests);
-    expect_golden("cloud_reading_understood.txt", parsed);
+    expect_golden("cloud_reads_requests.txt", service.requests);
+    expect_golden("cloud_reads_parsed.txt", parsed);
 }
 
 // Launching and terminating machines, with each response.
@@ -270,8 +270,8 @@
         service.add_reply(status, "{}");
         parsed += service.run(cloud.terminate({"n-000231", "n-000232"})) ? "returned\n" : "not returned\n";
     }
-    expect_golden("cloud_renting_asked.txt", service.requests);
-    expect_golden("cloud_renting_understood.txt", parsed);
+    expect_golden("cloud_launches_requests.txt", service.requests);
+    expect_golden("cloud_launches_parsed.txt", parsed);
 }
 
 // A status message and a relay message as they are sent to another controller.
--- a/tests/golden_settings_test.cpp
+++ b/tests/golden_settings_test.cpp
@@ -121,7 +121,7 @@
             out += std::string(error.what()) + "\n";
         }
     }
-    expect_golden("complaints_about_operators_settings.txt", out);
+    expect_golden("operator_settings_errors.txt", out);
 }
 
 }  // namespace flintdale::test
--- a/tests/job_dependencies_test.cpp
+++ b/tests/job_dependencies_test.cpp
@@ -60,12 +60,12 @@
     m1.run_all();
     m1.finish("run-1", 0, ExitReason::done);
     heartbeat(m1);
-    EXPECT_FALSE(place()) << "one task of two is done";
+    EXPECT_FALSE(place()) << "only one of two tasks is done";
     m1.finish("run-1", 1, ExitReason::done);
     heartbeat(m1);
-    EXPECT_FALSE(leader->place(now)) << "its end is not on record yet";
+    EXPECT_FALSE(leader->place(now)) << "the outcome of run-1 is not committed yet";
     commit();
-    EXPECT_TRUE(place()) << "and nothing waits for another window";
+    EXPECT_TRUE(place()) << "run-2 does not wait for another batching window";
     EXPECT_EQ(machine_of("run-2", 0), "n-000001");
 }
 
@@ -90,7 +90,7 @@
     run_job("run-1", m1);
     finish_job("run-1", m1);
     accept(dependent("run-2", {"run-1"}));
-    EXPECT_TRUE(leader->keys_to_read().empty()) << "this leader remembers";
+    EXPECT_TRUE(leader->keys_to_read().empty()) << "this leader remembers the outcome";
     elect();
     settle();
     register_worker(m1);
@@ -129,7 +129,7 @@
     register_worker(m1);
     EXPECT_TRUE(place());
     EXPECT_EQ(machine_of("run-2", 0), "");
-    EXPECT_TRUE(leader->keys_to_read().empty()) << "both are known by now";
+    EXPECT_TRUE(leader->keys_to_read().empty()) << "the leader knows both jobs by now";
 }
 
 TEST_F(JobDependenciesTest, PlacedDependentContinuesUnderTheNextLeader) {
@@ -165,7 +165,7 @@
     EXPECT_EQ(state_of("run-5"), "open");
     accept(dependent("run-6", {"run-4"}));
     commit();
-    EXPECT_EQ(state_of("run-6"), "aborted") << "it names one that is cancelled already";
+    EXPECT_EQ(state_of("run-6"), "aborted") << "its dependency is already cancelled";
 }
 
 TEST_F(JobDependenciesTest, NextLeaderContinuesAbortingDependents) {
--- a/tests/listen_test.cpp
+++ b/tests/listen_test.cpp
@@ -11,7 +11,7 @@
     const auto port = first.local_endpoint().port();
     try {
         net::listen_when_free(second, "127.0.0.1", port, 8, std::chrono::milliseconds(0));
-        FAIL() << "two cannot listen there";
+        FAIL() << "a second acceptor listens on a port in use";
     } catch (const std::runtime_error& e) {
         EXPECT_NE(std::string(e.what()).find("127.0.0.1:" + std::to_string(port)), std::string::npos) << e.what();
     }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -117,7 +117,8 @@
     const auto* repeated = cache.repeated("two", relay_incarnation, sent.back().second.repeated[0]);
     ASSERT_TRUE(repeated);
     EXPECT_EQ(*repeated, make_heartbeat("n-1", 11, 200));
-    EXPECT_FALSE(cache.repeated("two", relay_incarnation + 1, sent.back().second.repeated[0])) << "another process";
+    EXPECT_FALSE(cache.repeated("two", relay_incarnation + 1, sent.back().second.repeated[0]))
+        << "another incarnation of the relay";
 }
 
 // Two heartbeats of one worker are in transit, and the second one is a delayed copy of an older state.
@@ -135,7 +136,7 @@
     const auto& message = sent.back().second;
     for (const auto& r : message.repeated) {
         const auto* repeated = cache.repeated("two", relay_incarnation, r);
-        EXPECT_TRUE(!repeated || repeated->tasks.size() == 3) << "three tasks run there";
+        EXPECT_TRUE(!repeated || repeated->tasks.size() == 3) << "three tasks run on this machine";
     }
     for (const auto& r : message.reports) EXPECT_EQ(r.report.tasks.size(), 3u);
 }
@@ -204,11 +205,11 @@
     const auto late = relay_heartbeat(make_heartbeat("n-1", 10, 2));
     const auto number = last_full_number();
     advance(4s);
-    EXPECT_TRUE(late->finished) << "it is told 503, and goes to another controller";
+    EXPECT_TRUE(late->finished) << "the worker gets status 503 and reports to another controller";
     EXPECT_FALSE(late->response);
     const auto next = relay_heartbeat(make_heartbeat("n-1", 11, 2));
     respond_as("one", make_response(number));
-    EXPECT_FALSE(next->finished) << "the answer is to the report before";
+    EXPECT_FALSE(next->finished) << "the response belongs to the previous heartbeat";
     EXPECT_EQ(relay.waiting(), 1u);
 }
 
@@ -247,7 +248,7 @@
     for (int i = 0; i < 50; ++i)
         net::asio::co_spawn(io, relay.relay(make_heartbeat("n-" + std::to_string(i), 1, 5)), net::asio::detached);
     advance(30ms);
-    ASSERT_EQ(sent.size(), 2u) << "the first at once, the others together";
+    ASSERT_EQ(sent.size(), 2u) << "the first at once, the rest in one message";
     EXPECT_EQ(sent[1].second.reports.size(), 49u);
 }
 
--- a/tests/submission_checks_test.cpp
+++ b/tests/submission_checks_test.cpp
@@ -86,7 +86,7 @@
         ASSERT_EQ(replies.size(), 2u);
         EXPECT_EQ(replies["run-2"].first, 200u);
         EXPECT_LT(replies["run-2"].second, model::Seconds(0.2));
-        EXPECT_EQ(replies["run-1"].first, 503u) << "whoever asked for it is answered in time, and retries";
+        EXPECT_EQ(replies["run-1"].first, 503u) << "the client gets a reply before its timeout, and retries";
         EXPECT_LE(replies["run-1"].second, model::Seconds(2.01));
     }
     model::Clock::simulated = nullptr;
@@ -100,7 +100,8 @@
     EXPECT_EQ(polled_status(service_1, "run-1"), "pending");
     EXPECT_EQ(store.gets, 0);
     ASSERT_EQ(run(service_2.cancel("run-1")).status, 200u);
-    EXPECT_EQ(polled_status(service_1, "run-1"), "aborted") << "a memory is no word on whether it is still open";
+    EXPECT_EQ(polled_status(service_1, "run-1"), "aborted")
+        << "the remembered state does not show whether the job is still open";
 }
 
 // A poll and a cancellation run concurrently. The poll reports the newest state that is known when it replies.
--- a/tests/submission_dependencies_test.cpp
+++ b/tests/submission_dependencies_test.cpp
@@ -8,12 +8,13 @@
     const auto r = run(service_1.submit(dependent_body("run-2", R"(["run-1"])")));
     EXPECT_EQ(r.status, 503u);
     EXPECT_GT(r.retry_after, 0u);
-    EXPECT_EQ(run(service_1.submit(dependent_body("run-3", "[]"))).status, 201u) << "none, empty and null are the same";
+    EXPECT_EQ(run(service_1.submit(dependent_body("run-3", "[]"))).status, 201u)
+        << "a missing, an empty and a null list mean the same";
     EXPECT_EQ(run(service_1.submit(dependent_body("run-4", "null"))).status, 201u);
     record_format.all_read(state::newest_format);
     EXPECT_EQ(run(service_2.submit(dependent_body("run-2", R"(["run-1","run-1"])"))).status, 201u);
     EXPECT_EQ(run(service_1.submit(dependent_body("run-2", R"(["run-999"])"))).status, 200u)
-        << "a repetition, whatever it names";
+        << "a repeated submission, whose dependencies are not checked";
 }
 
 TEST_F(SubmissionServiceTest, OnlyAcceptedJobsThatCanFinishMayBeDependencies) {
@@ -23,14 +24,16 @@
     service.replace(service.find("array"), 5, "standing");
     ASSERT_EQ(run(service_1.submit(service)).status, 201u);
     EXPECT_EQ(run(service_2.submit(dependent_body("run-3", R"(["run-1","run-9"])"))).status, 422u);
-    EXPECT_EQ(run(service_2.submit(dependent_body("run-3", R"(["run-3"])"))).status, 422u) << "itself";
+    EXPECT_EQ(run(service_2.submit(dependent_body("run-3", R"(["run-3"])"))).status, 422u)
+        << "a job cannot depend on itself";
     EXPECT_EQ(run(service_2.submit(dependent_body("run-3", R"(["run-2"])"))).status, 422u) << "a service is never done";
     for (const auto* bad : {R"("run-1")", R"([1])", R"(["x"])", R"({})"})
         EXPECT_EQ(run(service_2.submit(dependent_body("run-3", bad))).status, 400u) << bad;
     store_outcome("run-1", "done");
     EXPECT_EQ(run(service_2.submit(dependent_body("run-3", R"(["run-1"])"))).status, 201u);
     store.refuse = true;
-    EXPECT_EQ(run(service_2.submit(dependent_body("run-4", R"(["run-8"])"))).status, 503u) << "silence is no proof";
+    EXPECT_EQ(run(service_2.submit(dependent_body("run-4", R"(["run-8"])"))).status, 503u)
+        << "without a response it is not certain that run-8 was never accepted";
 }
 
 TEST_F(SubmissionServiceTest, AbortedIsReportedAsSoonAsADependencyIsCancelled) {
@@ -55,7 +58,8 @@
     EXPECT_EQ(polled_status(service_1, "run-2"), "pending");
     EXPECT_EQ(polled_status(service_1, "run-1"), "done");
     store.refuse = true;
-    EXPECT_EQ(polled_status(service_1, "run-2"), "") << "what it needs is known to be done, but not whether it is open";
+    EXPECT_EQ(polled_status(service_1, "run-2"), "")
+        << "the dependency is known to be done, but not whether run-2 is still open";
 }
 
 // A poll reported a job as aborted, because a dependency was cancelled, while that state was only in the cache and not
