--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -34,7 +34,7 @@
     std::string_view field = "body";
     if (spec.dependencies.size() > 1) field = "prereqs";
     if (spec.types && spec.types->size() > spec.dependencies.size()) field = "hosttypes";
-    return std::string(field) + ": too long to be stored";
+    return std::string(field) + ": too long to be kept";
 }
 
 }  // namespace
@@ -77,7 +77,7 @@
 // A controller of an older version cannot read a job that needs the newest format, or would start it too early.
 std::optional<std::string_view> SubmissionService::retry_later_reason(const model::JobSpec& spec) const {
     if (!record_format_.newest() && !scheduler::readable_by_all(spec, record_format_))
-        return "not supported until all controllers run the new version";
+        return "not before all controllers have the new version";
     if (!callbacks_.machine_types()) return "the machine types are not known yet";
     return std::nullopt;
 }
@@ -126,7 +126,7 @@
         spdlog::info("event=job_accepted job={} class={} tasks={}", uid, spec.job_class, spec.tasks);
         co_return make_reply(201, wire::submission_response(uid, "pending"));
     }
-    if (result.outcome == Outcome::refused) co_return retry_later_reply("the state service rejected the write");
+    if (result.outcome == Outcome::refused) co_return retry_later_reply("the state service refuses");
     // Either the job exists already, or the response was lost and the write may have succeeded.
     auto otherwise = store_unreachable_reply();
     co_return co_await status_if_exists(std::move(uid), std::move(otherwise));
